--- a/Makefile
+++ b/Makefile
@@ -5,12 +5,14 @@
 # Findings are cached with the path of the checkout that they were found in, so a cache
 # that several checkouts share reports files of a checkout that is gone.
 GOLANGCI_LINT_CACHE := $(CURDIR)/bin/golangci-lint-cache
+GOPLS_VERSION := v0.23.0
+GOPLS := bin/gopls-$(GOPLS_VERSION)
 VERSION := $(shell git describe --tags --always --dirty 2>/dev/null || echo unknown)
 LDFLAGS := -X github.com/thorntiller/thorntiller/internal/cli.version=$(VERSION)
 
 export CGO_ENABLED := 1
 
-.PHONY: all build test lint fmt fmt-check vet docs demo soak bench clean
+.PHONY: all build test lint rename-tool fmt fmt-check vet docs demo soak bench clean
 
 all: build
 
@@ -40,6 +42,14 @@
 	GOBIN=$(CURDIR)/bin go install github.com/golangci/golangci-lint/v2/cmd/golangci-lint@$(GOLANGCI_LINT_VERSION)
 	mv bin/golangci-lint $@
 
+# Installs gopls, which renames an identifier with all its uses:
+#     bin/gopls-VERSION rename -w FILE:LINE:COLUMN NEW_NAME
+rename-tool: $(GOPLS)
+
+$(GOPLS):
+	GOBIN=$(CURDIR)/bin go install golang.org/x/tools/gopls@$(GOPLS_VERSION)
+	mv bin/gopls $@
+
 # Writes the pages that are generated from the code.
 docs:
 	go run ./cmd/thorntiller config reference > docs/CONFIGURATION.md
