--- a/internal/coordinator/coordinator_test.go
+++ b/internal/coordinator/coordinator_test.go
@@ -253,7 +253,7 @@
 		b.silent["a"], b.silent["b"] = step.silent, step.silent
 		b.confirm = false
 		b.core.Lead(b.now, 2, b.view)
-		b.core.QuietBefore(quiet)
+		b.core.SetQuietTime(quiet)
 		if step.ledBefore {
 			b.core.Lead(b.now, 3, b.view)
 		}
--- a/internal/coordinator/sessions.go
+++ b/internal/coordinator/sessions.go
@@ -37,11 +37,11 @@
 	}
 }
 
-// QuietBefore tells, after Lead, that no quorum round of an earlier leader began
+// SetQuietTime tells, after Lead, that no quorum round of an earlier leader began
 // within a time before this one was elected, measured by other controllers'
 // clocks. Earlier leaders renewed leases only from readings that are older than
 // such a round.
-func (c *Coordinator) QuietBefore(measured time.Duration) {
+func (c *Coordinator) SetQuietTime(measured time.Duration) {
 	c.quiet = time.Duration(float64(measured) * (1 - c.config.ClockRateBound))
 }
 
--- a/internal/driver/leading.go
+++ b/internal/driver/leading.go
@@ -11,7 +11,7 @@
 	case leads && !d.leading:
 		d.leading = true
 		d.coordinator.Lead(d.host.Now(), status.Term, d.host.State())
-		d.coordinator.QuietBefore(status.QuietBeforeElection)
+		d.coordinator.SetQuietTime(status.QuietBeforeElection)
 		d.host.StartedLeading(status)
 	case status.Role != consensus.RoleLeader:
 		d.StopLeading()
