--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -17,9 +17,9 @@
 // Link is a router's connections to one back end. Its methods are called under
 // the fleet's lock and must not block.
 type Link interface {
-	// Follow takes a new version of the server's object and the bound on
+	// Update takes a new version of the server's object and the bound on
 	// connections that goes with it.
-	Follow(server *state.Server, connections int)
+	Update(server *state.Server, connections int)
 	// Limit changes the bound on connections; open ones stay.
 	Limit(connections int)
 	// Close closes the connections that are not in use.
@@ -116,7 +116,7 @@
 		return found
 	}
 	found.server.Store(server)
-	found.Link.Follow(server, f.connections(server))
+	found.Link.Update(server, f.connections(server))
 	if earlier.Session.Number != server.Session.Number {
 		found.since.Store(int64(f.options.Clock.Now()))
 	}
--- a/internal/lab/sim/requests.go
+++ b/internal/lab/sim/requests.go
@@ -47,7 +47,7 @@
 // noLink stands for connections, which the simulator models for each attempt.
 type noLink struct{}
 
-func (noLink) Follow(*state.Server, int) {}
+func (noLink) Update(*state.Server, int) {}
 func (noLink) Limit(int)                 {}
 func (noLink) Close()                    {}
 
--- a/internal/router/link.go
+++ b/internal/router/link.go
@@ -55,8 +55,8 @@
 	})
 }
 
-// Follow implements fleet.Link: a server with a new address gets a new client.
-func (l *link) Follow(server *state.Server, connections int) {
+// Update implements fleet.Link: a server with a new address gets a new client.
+func (l *link) Update(server *state.Server, connections int) {
 	if l.address == server.Address {
 		return
 	}
