--- a/internal/coordinator/account.go
+++ b/internal/coordinator/account.go
@@ -7,24 +7,26 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
-// account sums up the reports of one interval by server.
-type account map[state.ServerID]*serverAccount
+// loadTotals holds the sums of one interval's load reports by server.
+type loadTotals map[state.ServerID]*serverTotals
 
-// serverAccount is one server's part: the requests that it counted over the
-// covered time, and its word on the slots that are busy.
-type serverAccount struct {
-	executed uint64
-	covered  time.Duration
-	busy     float64
-	reports  int
-	// loads are the entries of its reports for shards that it owns.
-	loads []backendapi.ShardLoad
+// serverTotals sums up one server's load reports. requests are those that the
+// server counted for its shards during duration; busySlots is summed over the
+// reports.
+type serverTotals struct {
+	requests  uint64
+	duration  time.Duration
+	busySlots float64
+	reports   int
+	// shardLoads are the reported loads of shards that the server owns.
+	shardLoads []backendapi.ShardLoad
 }
 
-// byShard sums up the entries.
-func (s *serverAccount) byShard() map[state.ShardID]backendapi.ShardLoad {
-	sums := make(map[state.ShardID]backendapi.ShardLoad, len(s.loads))
-	for _, load := range s.loads {
+// byShard sums up the reported loads of each shard. The hot key is that of the
+// last report.
+func (s *serverTotals) byShard() map[state.ShardID]backendapi.ShardLoad {
+	sums := make(map[state.ShardID]backendapi.ShardLoad, len(s.shardLoads))
+	for _, load := range s.shardLoads {
 		sum := sums[state.ShardID(load.Shard)]
 		sum.Requests += load.Requests
 		sum.HotHash, sum.HotRequests = load.HotHash, min(load.HotRequests, load.Requests)
@@ -33,45 +35,46 @@
 	return sums
 }
 
-// rate is the requests a second of which some were counted.
-func (s *serverAccount) rate(executed uint64) float64 {
-	return float64(executed) / s.covered.Seconds()
+// perSecond converts a count of requests within the interval to a rate.
+func (s *serverTotals) perSecond(requests uint64) float64 {
+	return float64(requests) / s.duration.Seconds()
 }
 
-// wantsLoads reports whether the next message to a server should ask for the
-// loads of its shards.
-func (b *balancer) wantsLoads(now time.Duration, known *contact) bool {
-	return b.services[known.service] != nil && (known.loadAt < 0 || now-known.loadAt >= reviewInterval)
+// wantsShardLoads reports whether the next message to a server should ask for
+// the loads of its shards.
+func (b *balancer) wantsShardLoads(now time.Duration, tracker *serverTracker) bool {
+	return b.services[tracker.service] != nil && (tracker.shardLoadsAt < 0 || now-tracker.shardLoadsAt >= reviewInterval)
 }
 
-// count takes a server's report. Only shards that the server owns count, so
-// that it can mislead about no others. The first counts after an election reach
-// back to an unknown moment and are left out.
-func (b *balancer) count(now time.Duration, server *contact, report backendapi.LoadReport) {
-	known := b.services[server.service]
-	if known == nil {
+// addReport adds a server's load report to the totals of the interval. Loads of
+// shards that the server does not own are ignored, so that a faulty server cannot
+// distort them. The first shard loads after an election are ignored, too, because
+// the start of the time that they cover is unknown.
+func (b *balancer) addReport(now time.Duration, tracker *serverTracker, report backendapi.LoadReport) {
+	balanced := b.services[tracker.service]
+	if balanced == nil {
 		return
 	}
-	own := known.accounts[server.server]
-	if own == nil {
-		own = &serverAccount{}
-		known.accounts[server.server] = own
+	totals := balanced.current[tracker.server]
+	if totals == nil {
+		totals = &serverTotals{}
+		balanced.current[tracker.server] = totals
 	}
-	own.reports++
-	own.busy += float64(max(report.Running, 0))
-	if !server.asked {
+	totals.reports++
+	totals.busySlots += float64(max(report.Running, 0))
+	if !tracker.loadsRequested {
 		return
 	}
-	since := server.loadAt
-	server.asked, server.loadAt = false, now
-	if since < 0 || now <= since {
+	previousAt := tracker.shardLoadsAt
+	tracker.loadsRequested, tracker.shardLoadsAt = false, now
+	if previousAt < 0 || now <= previousAt {
 		return
 	}
-	own.covered += now - since
+	totals.duration += now - previousAt
 	for _, load := range report.ShardLoads[:min(len(report.ShardLoads), backendapi.MaxShardLoads)] {
-		if shard, found := known.layout.Shard(state.ShardID(load.Shard)); found && shard.Owner == server.server {
-			own.loads = append(own.loads, load)
-			own.executed += load.Requests
+		if shard, found := balanced.layout.Shard(state.ShardID(load.Shard)); found && shard.Owner == tracker.server {
+			totals.shardLoads = append(totals.shardLoads, load)
+			totals.requests += load.Requests
 		}
 	}
 }
--- a/internal/coordinator/adoption.go
+++ b/internal/coordinator/adoption.go
@@ -10,52 +10,55 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
-// An observed service is owned by its team's own scripts: its servers serve
-// their own claims, get no lease, and keep their shards in the table whatever
-// becomes of them. Authority changes hands in one direction at a time:
+// The owners of an observed service's keys are set by its team's own scripts:
+// its servers serve the key ranges that they claim, get no lease, and keep their
+// shards in the routing table even when they fail. Two processes must not serve
+// the same key while the mode changes:
 //
-//   - To managed: the session of a server opens only after the server, in answer
-//     to a message of this leader, gave up its claims. From then on it serves
-//     under a lease only, which can be waited out.
+//   - To managed: the session of a server opens only after its process gave up
+//     its claims in answer to a message of this leader. From then on it serves
+//     only under a lease, which can be waited out.
 //   - To observed: only the process that held the lease of the last session is
-//     told to claim what it owned, and only while a lease could still have been
-//     given to it.
+//     told to claim the ranges that it owned, and only while it could still be
+//     granted a lease.
 
-// contactObserved sends a message to a server of an observed service.
-func (c *Coordinator) contactObserved(now time.Duration, known *contact, server state.Server, service state.Service, view *state.State, actions *Actions) {
-	if now < known.next || known.inFlight {
+// messageObservedServer sends a message to a server of an observed service, if
+// one is due.
+func (c *Coordinator) messageObservedServer(now time.Duration, tracker *serverTracker, server state.Server, service state.Service, view *state.State, actions *Actions) {
+	if now < tracker.nextMessageAt || tracker.messageInFlight {
 		return
 	}
 	request := backendapi.LeaseRequest{Server: string(server.ID)}
 	switch {
-	case known.observed:
-		request.Incarnation = known.incarnation
+	case tracker.observed:
+		request.Incarnation = tracker.incarnation
 		request.Observed = true
 		request.Drain = server.Intent != state.ServerActive
-	case c.mayHandBack(known, server, service, view):
-		c.fillHandBack(&request, known, server, view)
+	case c.mayHandBack(tracker, server, service, view):
+		c.fillHandBack(&request, tracker, server, view)
 	}
-	c.send(now, known, server, request, actions)
+	c.send(now, tracker, server, request, actions)
 }
 
-// mayHandBack reports whether a process may be told to claim what it owns: it
-// held the last session's lease, no owner changed since, and a quorum confirmed
-// this leader after the process's clock was read.
-func (c *Coordinator) mayHandBack(known *contact, server state.Server, service state.Service, view *state.State) bool {
-	if known.incarnation == "" || known.incarnation != server.Session.Incarnation {
+// mayHandBack reports whether a process may be told to claim the ranges that its
+// server owns: it held the lease of the last session, the server's assignments
+// have not changed since the service became observed, and a quorum confirmed this
+// leader after the reading of the process's clock arrived.
+func (c *Coordinator) mayHandBack(tracker *serverTracker, server state.Server, service state.Service, view *state.State) bool {
+	if tracker.incarnation == "" || tracker.incarnation != server.Session.Incarnation {
 		return false
 	}
 	if service.HandedBack == 0 || view.AssignmentVersion(server.ID) > service.HandedBack {
 		return false
 	}
-	return known.readingAt >= 0 && known.readingAt <= c.confirmedAt
+	return tracker.readingAt >= 0 && tracker.readingAt <= c.confirmedAt
 }
 
-func (c *Coordinator) fillHandBack(request *backendapi.LeaseRequest, known *contact, server state.Server, view *state.State) {
-	request.Incarnation = known.incarnation
+func (c *Coordinator) fillHandBack(request *backendapi.LeaseRequest, tracker *serverTracker, server state.Server, view *state.State) {
+	request.Incarnation = tracker.incarnation
 	request.Session = uint64(server.Session.Number)
 	request.Observed = true
-	request.ReadingNs = known.reading
+	request.ReadingNs = tracker.clockReading
 	request.DurationNs = int64(c.config.LeaseDuration)
 	request.Replace = true
 	request.Drain = server.Intent != state.ServerActive
@@ -64,22 +67,22 @@
 	}
 }
 
-// endClaims asks a process that may serve by its own authority to give that up.
-// It carries no session, so that it grants nothing.
-func endClaims(request *backendapi.LeaseRequest, known *contact) {
-	request.Incarnation = known.incarnation
+// fillClaimEnd makes the request one that tells the process to give up its
+// claims. It has no session, so it grants no lease.
+func fillClaimEnd(request *backendapi.LeaseRequest, tracker *serverTracker) {
+	request.Incarnation = tracker.incarnation
 }
 
 // claimsEnded reports whether the process gave up its claims in answer to a
-// message of this leader. Messages of earlier leaders, which might let it claim
-// again, are refused from then on.
-func (c *Coordinator) claimsEnded(known *contact) bool {
-	return !known.observed && known.fenceTerm == c.term
+// message of this leader. From then on it refuses messages of earlier leaders,
+// which could tell it to claim ranges again.
+func (c *Coordinator) claimsEnded(tracker *serverTracker) bool {
+	return !tracker.observed && tracker.fenceTerm == c.term
 }
 
-// differences counts the key ranges in which a server's claims differ from the
-// shards that the table gives to it.
-func differences(shards []state.Shard, claims []backendapi.Assignment) int {
+// countDifferences counts the key ranges in which a server's claims differ from
+// the shards that it owns in the routing table.
+func countDifferences(shards []state.Shard, claims []backendapi.Assignment) int {
 	table := make([]state.KeyRange, 0, len(shards))
 	for _, shard := range shards {
 		table = append(table, shard.Range)
@@ -88,11 +91,12 @@
 	for _, claim := range claims {
 		claimed = append(claimed, state.KeyRange{First: claim.First, Last: claim.Last})
 	}
-	return uncovered(joined(table), joined(claimed)) + uncovered(joined(claimed), joined(table))
+	return countUncovered(coalesceRanges(table), coalesceRanges(claimed)) + countUncovered(coalesceRanges(claimed), coalesceRanges(table))
 }
 
-// joined sorts ranges and joins those that touch.
-func joined(ranges []state.KeyRange) []state.KeyRange {
+// coalesceRanges sorts ranges and merges those that overlap or are adjacent. It
+// changes its argument.
+func coalesceRanges(ranges []state.KeyRange) []state.KeyRange {
 	slices.SortFunc(ranges, func(a, b state.KeyRange) int { return cmp.Compare(a.First, b.First) })
 	var result []state.KeyRange
 	for _, next := range ranges {
@@ -106,8 +110,9 @@
 	return result
 }
 
-// uncovered counts the ranges of which no range of the covering holds the whole.
-func uncovered(ranges, covering []state.KeyRange) int {
+// countUncovered counts the ranges that lie in no single range of covering, which
+// is sorted and free of overlaps.
+func countUncovered(ranges, covering []state.KeyRange) int {
 	count := 0
 	for _, keys := range ranges {
 		position, _ := slices.BinarySearchFunc(covering, keys.Last, func(candidate state.KeyRange, last uint64) int {
--- a/internal/coordinator/assign.go
+++ b/internal/coordinator/assign.go
@@ -8,39 +8,40 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
-// batchesAhead bounds the assignments that are chosen at a time, in batches.
-// After a large loss they go out server by server, so that each server gets its
-// new set once rather than with every batch.
-const batchesAhead = 16
+// maxChosenBatches bounds the assignments that are chosen at a time, in batches.
+// After the loss of many servers the assignments are proposed in the order of
+// their new owners, so that each owner's set changes about once instead of with
+// every batch.
+const maxChosenBatches = 16
 
-// assignShards proposes the next batch of owners for shards without one.
+// assignShards proposes the next batch of owners for unowned shards.
 func (c *Coordinator) assignShards(planner *planner, view *state.State, actions *Actions) {
 	if c.awaitsClosures(planner.now, view) {
 		return
 	}
-	if len(c.assignments) == 0 {
-		c.assignments = c.chooseOwners(planner, view)
+	if len(c.queuedAssignments) == 0 {
+		c.queuedAssignments = c.chooseOwners(planner, view)
 	}
-	batch := c.assignments[:min(len(c.assignments), c.config.MaxBatch)]
-	c.assignments = c.assignments[len(batch):]
+	batch := c.queuedAssignments[:min(len(c.queuedAssignments), c.config.MaxBatch)]
+	c.queuedAssignments = c.queuedAssignments[len(batch):]
 	batch = slices.DeleteFunc(slices.Clone(batch), func(chosen state.ShardAssignment) bool {
-		return !c.stillGood(chosen, view)
+		return !c.stillValid(chosen, view)
 	})
 	if len(batch) > 0 {
 		c.pendingAssign = c.propose(actions, state.Command{AssignShards: &state.AssignShards{Assignments: batch}})
 	}
 }
 
-// chooseOwners chooses service by service. A service without servers holds up
-// no other.
+// chooseOwners chooses owners for unowned shards, service by service. A service
+// that has no server to assign to does not delay the others.
 func (c *Coordinator) chooseOwners(planner *planner, view *state.State) []state.ShardAssignment {
 	var chosen []state.ShardAssignment
-	limit := batchesAhead * c.config.MaxBatch
+	limit := maxChosenBatches * c.config.MaxBatch
 	for _, service := range view.UnownedServices() {
 		if len(chosen) == limit {
 			break
 		}
-		if !planner.hasTakers(service) || c.awaitsServers(planner.now, service, view) {
+		if !planner.hasCandidates(service) || c.awaitsServers(planner.now, service, view) {
 			continue
 		}
 		for _, shard := range view.UnownedShards(service, limit-len(chosen)) {
@@ -59,40 +60,42 @@
 	return chosen
 }
 
-// awaitsClosures reports whether shards without an owner wait for those of many
-// more servers that are about to be lost. Together each new owner takes one set
-// of shards, and routers a few large changes; one by one the last shard waits
-// for all of them.
+// awaitsClosures reports whether the assignment of unowned shards is delayed
+// until the sessions of many more silent servers have ended. If all these shards
+// are assigned together, each new owner gets one new set, and routers get a few
+// large changes. Assigned session by session, the last shard would wait for a
+// change per session. The delay is bounded.
 func (c *Coordinator) awaitsClosures(now time.Duration, view *state.State) bool {
-	if c.ending == 0 || len(view.UnownedServices()) == 0 {
-		c.gatheringSince = -1
+	if c.endingSoon == 0 || len(view.UnownedServices()) == 0 {
+		c.assignmentsDelayedSince = -1
 		return false
 	}
-	if c.gatheringSince < 0 {
-		if c.ending < manyClosures {
+	if c.assignmentsDelayedSince < 0 {
+		if c.endingSoon < manyClosures {
 			return false
 		}
-		c.gatheringSince = now
+		c.assignmentsDelayedSince = now
 	}
-	return now-c.gatheringSince < c.config.RenewInterval+2*closurePace
+	return now-c.assignmentsDelayedSince < c.config.RenewInterval+2*closureInterval
 }
 
-// foundingWait bounds the wait for the servers of a new service.
-const foundingWait = time.Second
+// newServiceWait bounds the wait for the servers of a new service.
+const newServiceWait = time.Second
 
-// awaitsServers reports whether a service whose shards never had an owner waits
-// for more of its servers to answer: the first one would get everything.
+// awaitsServers reports whether the assignment of a new service's shards, which
+// never had an owner, waits for more of its servers to answer. Otherwise the
+// first server that answers would get all of them.
 func (c *Coordinator) awaitsServers(now time.Duration, service state.ServiceName, view *state.State) bool {
 	first := view.UnownedShards(service, 1)
 	if len(first) == 0 || first[0].Epoch != 0 {
 		return false
 	}
-	since, found := c.founding[service]
+	since, found := c.newServiceSince[service]
 	if !found {
 		since = now
-		c.founding[service] = now
+		c.newServiceSince[service] = now
 	}
-	if now-since >= foundingWait {
+	if now-since >= newServiceWait {
 		return false
 	}
 	return slices.ContainsFunc(view.ServersOf(service), func(server state.Server) bool {
@@ -100,13 +103,13 @@
 	})
 }
 
-// stillGood reports whether nothing changed since the owner was chosen. What is
-// left out is chosen anew.
-func (c *Coordinator) stillGood(chosen state.ShardAssignment, view *state.State) bool {
+// stillValid reports whether a chosen assignment can still be made. Owners of
+// shards whose assignment is dropped are chosen again later.
+func (c *Coordinator) stillValid(chosen state.ShardAssignment, view *state.State) bool {
 	shard, found := view.Shard(chosen.Shard)
 	if !found || shard.Phase != state.ShardUnowned || shard.Epoch != chosen.Epoch {
 		return false
 	}
 	server, found := view.Server(chosen.Server)
-	return found && server.Session.Number == chosen.Session && takesShards(server, c.contacts[server.ID])
+	return found && server.Session.Number == chosen.Session && acceptsShards(server, c.trackers[server.ID])
 }
--- a/internal/coordinator/balance_test.go
+++ b/internal/coordinator/balance_test.go
@@ -9,25 +9,25 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
-// loaded is a fleet of four servers of four slots. Each server reports the
-// requests of its shards in proportion to their width, but for what weight adds
-// by range, and ten milliseconds a request.
-type loaded struct {
+// loadedFleet is a fleet of four servers with four slots each. The servers report
+// requests for their shards in proportion to weight, which gives the load of a key
+// range, and busy slots as with a service time of 10 ms a request.
+type loadedFleet struct {
 	*fleet
 	weight func(keys state.KeyRange) float64
-	// lies, if set, changes a report before it is sent.
-	lies func(server state.ServerID, report *backendapi.LoadReport)
-	// hot is a key that servers count by itself; zero for none.
-	hot uint64
-	// rest holds the fractions of requests that were not reported yet.
-	rest map[state.ShardID]float64
-	// mostMoves is the largest number of shards that were moving at once.
-	mostMoves int
+	// alterReport, if set, changes a report before it is sent.
+	alterReport func(server state.ServerID, report *backendapi.LoadReport)
+	// hotKey is a key whose requests servers count separately; zero for none.
+	hotKey uint64
+	// unreported holds the fractions of requests that were not yet reported.
+	unreported map[state.ShardID]float64
+	// maxMoving is the largest number of shards that were moving at once.
+	maxMoving int
 }
 
-func newLoaded(t *testing.T, automatic bool, weight func(keys state.KeyRange) float64) *loaded {
+func newLoadedFleet(t *testing.T, automatic bool, weight func(keys state.KeyRange) float64) *loadedFleet {
 	t.Helper()
-	l := &loaded{fleet: newFleet(4, 32), weight: weight, rest: make(map[state.ShardID]float64)}
+	l := &loadedFleet{fleet: newFleet(4, 32), weight: weight, unreported: make(map[state.ShardID]float64)}
 	l.fleet.report = l.report
 	service, _ := l.view.Service("s")
 	service.Placement.Automatic = automatic
@@ -39,40 +39,42 @@
 	return l
 }
 
-// perReport is the requests of the whole service in one report interval.
-const perReport = 3000
+// requestsPerReport is the number of requests to the service in one report
+// interval, at a total weight of 1.
+const requestsPerReport = 3000
 
-func (l *loaded) report(server state.ServerID, loads bool) backendapi.LoadReport {
+func (l *loadedFleet) report(server state.ServerID, loads bool) backendapi.LoadReport {
 	report := backendapi.LoadReport{Slots: 4}
 	total := 0.0
 	for _, shard := range l.view.OwnedBy(server) {
-		requests := perReport * l.weight(shard.Range)
+		requests := requestsPerReport * l.weight(shard.Range)
 		total += requests
 		if loads {
 			report.ShardLoads = append(report.ShardLoads, l.shardLoad(shard, requests))
 		}
 	}
-	// Ten milliseconds a request, and reports every five seconds.
+	// At 10 ms a request, 500 requests in a report interval of 5 s keep one slot
+	// busy.
 	const perBusySlot = 500
 	report.Running = int(total/perBusySlot + 0.5)
-	if l.lies != nil {
-		l.lies(server, &report)
+	if l.alterReport != nil {
+		l.alterReport(server, &report)
 	}
 	return report
 }
 
-func (l *loaded) shardLoad(shard state.Shard, requests float64) backendapi.ShardLoad {
-	requests += l.rest[shard.ID]
-	l.rest[shard.ID] = requests - math.Floor(requests)
+func (l *loadedFleet) shardLoad(shard state.Shard, requests float64) backendapi.ShardLoad {
+	requests += l.unreported[shard.ID]
+	l.unreported[shard.ID] = requests - math.Floor(requests)
 	load := backendapi.ShardLoad{Shard: uint64(shard.ID), Requests: uint64(requests)}
-	if l.hot != 0 && shard.Range.Contains(l.hot) {
-		alone := l.weight(state.KeyRange{First: l.hot, Last: l.hot})
-		load.HotHash, load.HotRequests = l.hot, uint64(perReport*alone)
+	if l.hotKey != 0 && shard.Range.Contains(l.hotKey) {
+		alone := l.weight(state.KeyRange{First: l.hotKey, Last: l.hotKey})
+		load.HotHash, load.HotRequests = l.hotKey, uint64(requestsPerReport*alone)
 	}
 	return load
 }
 
-func (l *loaded) run(duration time.Duration) {
+func (l *loadedFleet) run(duration time.Duration) {
 	for end := l.now + duration; l.now < end; {
 		l.tick()
 		moving := 0
@@ -81,12 +83,12 @@
 				moving++
 			}
 		}
-		l.mostMoves = max(l.mostMoves, moving)
+		l.maxMoving = max(l.maxMoving, moving)
 	}
 }
 
-// share is the part of the load that a server owns.
-func (l *loaded) share(server state.ServerID) float64 {
+// share returns a server's share of the load.
+func (l *loadedFleet) share(server state.ServerID) float64 {
 	own, all := 0.0, 0.0
 	for _, shard := range l.view.ShardsOf("s") {
 		all += l.weight(shard.Range)
@@ -97,9 +99,9 @@
 	return own / all
 }
 
-// everyFourth makes the shards that the first server owns at first four times
-// as busy as the others.
-func everyFourth(keys state.KeyRange) float64 {
+// busyEveryFourth gives every fourth shard, all of which the first server owns at
+// the start, four times the load of the others.
+func busyEveryFourth(keys state.KeyRange) float64 {
 	const shards, factor = 32, 4
 	if keys.First/(1<<63/(shards/2))%4 == 0 {
 		return factor * keys.Width()
@@ -108,31 +110,32 @@
 }
 
 func TestBalanceFollowsThePolicy(t *testing.T) {
-	l := newLoaded(t, false, everyFourth)
-	before := l.share(fleetServer(0))
+	l := newLoadedFleet(t, false, busyEveryFourth)
+	before := l.share(fleetServerID(0))
 	l.run(2 * time.Minute)
-	if l.share(fleetServer(0)) != before || l.mostMoves > 0 {
-		t.Fatalf("shards moved without a policy: share %g", l.share(fleetServer(0)))
+	if l.share(fleetServerID(0)) != before || l.maxMoving > 0 {
+		t.Fatalf("shards moved although automatic placement is off: share %g", l.share(fleetServerID(0)))
 	}
-	l = newLoaded(t, true, everyFourth)
+	l = newLoadedFleet(t, true, busyEveryFourth)
 	l.run(2 * time.Minute)
-	if share := l.share(fleetServer(0)); before < 0.5 || share > 0.4 {
-		t.Errorf("the hot server had %g of the load and has %g", before, share)
+	if share := l.share(fleetServerID(0)); before < 0.5 || share > 0.4 {
+		t.Errorf("the busiest server had a share of %g of the load at the start and now has %g", before, share)
 	}
-	if l.mostMoves == 0 || l.mostMoves > 2 {
-		t.Errorf("%d shards moved at once, at most 2 may", l.mostMoves)
+	if l.maxMoving == 0 || l.maxMoving > 2 {
+		t.Errorf("%d shards moved at once, want 1 or 2", l.maxMoving)
 	}
 	settled := l.view.Revision()
 	l.run(5 * time.Minute)
 	if l.view.Revision() != settled {
-		t.Error("shards went on to move with an even load")
+		t.Error("shards moved again although the load was balanced")
 	}
 }
 
-// Two busy keys in one shard are parted, since no server could carry both.
+// A shard with two hot keys is split, because no server can carry the load of
+// both.
 func TestHotRangeIsSplit(t *testing.T) {
 	hot := [2]uint64{12345, 1<<58 + 12345}
-	l := newLoaded(t, true, func(keys state.KeyRange) float64 {
+	l := newLoadedFleet(t, true, func(keys state.KeyRange) float64 {
 		load := keys.Width()
 		for _, hash := range hot {
 			if keys.Contains(hash) {
@@ -149,41 +152,42 @@
 	}
 	for _, shard := range []state.Shard{first, second} {
 		if share := l.share(shard.Owner); share > 0.3 {
-			t.Errorf("%s has %g of the load", shard.Owner, share)
+			t.Errorf("server %s has a share of %g of the load, want at most 0.3", shard.Owner, share)
 		}
 	}
 }
 
-// Servers whose requests are too few to be seen in a busy slot change nothing
-// about the loads: the time of a request stays as it was learnt.
+// Reports without busy slots, as from servers with few requests, must not change
+// the smoothed time of a request, and so not the loads either.
 func TestQuietReportsKeepTheTimeOfARequest(t *testing.T) {
-	l := newLoaded(t, true, func(keys state.KeyRange) float64 { return keys.Width() })
+	l := newLoadedFleet(t, true, func(keys state.KeyRange) float64 { return keys.Width() })
 	l.run(time.Minute)
-	before := l.core.balancer.serverLoad("s", fleetServer(0))
-	l.lies = func(_ state.ServerID, report *backendapi.LoadReport) { report.Running = 0 }
+	before := l.core.balancer.serverLoad("s", fleetServerID(0))
+	l.alterReport = func(_ state.ServerID, report *backendapi.LoadReport) { report.Running = 0 }
 	l.run(time.Minute)
-	after := l.core.balancer.serverLoad("s", fleetServer(0))
-	if before < 1 || math.Abs(after/before-1) > 0.1 || l.mostMoves > 0 {
-		t.Errorf("load %g became %g, and %d shards moved", before, after, l.mostMoves)
+	after := l.core.balancer.serverLoad("s", fleetServerID(0))
+	if before < 1 || math.Abs(after/before-1) > 0.1 || l.maxMoving > 0 {
+		t.Errorf("load changed from %g to %g, and %d shards moved", before, after, l.maxMoving)
 	}
 }
 
-// A key that servers count by itself moves alone, and costs next to no churn.
+// A hot key that servers count separately is split off and moved alone, even if
+// the weight of churn is high, because a single key causes almost none.
 func TestHotKeyMovesAlone(t *testing.T) {
 	const hot = 1<<57 + 5
-	l := newLoaded(t, true, func(keys state.KeyRange) float64 {
+	l := newLoadedFleet(t, true, func(keys state.KeyRange) float64 {
 		if keys.Contains(hot) {
 			return 0.2 + keys.Width()
 		}
 		return keys.Width()
 	})
-	l.hot = hot
+	l.hotKey = hot
 	service, _ := l.view.Service("s")
 	service.Weights.Churn = 20
 	plan := state.Plan{ID: "dear", Operations: []state.Operation{{PutService: &service}}}
 	l.apply(state.Command{StorePlan: &state.StorePlan{Plan: plan}})
 	l.apply(state.Command{ConfirmPlan: &state.ConfirmPlan{Plan: plan.ID}})
-	// One more server takes nothing but what is moved to it.
+	// The new server owns only what is moved to it.
 	added := state.Server{ID: "server-9999", Service: "s", Zone: "a", Slots: 4, Intent: state.ServerActive}
 	plan = state.Plan{ID: "add", Operations: []state.Operation{{PutServer: &added}}}
 	l.apply(state.Command{StorePlan: &state.StorePlan{Plan: plan}})
@@ -191,19 +195,19 @@
 	l.run(3 * time.Minute)
 	alone, _ := l.view.ShardAt("s", hot)
 	if alone.Range.First != alone.Range.Last || alone.Owner != added.ID {
-		t.Fatalf("the hot key's shard: %+v", alone)
+		t.Fatalf("the hot key is not in a shard of its own on the new server: %+v", alone)
 	}
-	if rest, _ := l.view.ShardAt("s", hot-1); rest.Owner != fleetServer(0) || rest.Epoch != 1 {
-		t.Errorf("the rest of the shard moved, too: %+v", rest)
+	if rest, _ := l.view.ShardAt("s", hot-1); rest.Owner != fleetServerID(0) || rest.Epoch != 1 {
+		t.Errorf("the rest of the shard moved as well: %+v", rest)
 	}
 }
 
-// A server that overstates its busy slots, and counts requests of shards that
-// it does not own, moves nothing.
+// A server that overstates its busy slots, and reports requests for shards that it
+// does not own, must not cause moves.
 func TestBalanceIsNotMisled(t *testing.T) {
-	l := newLoaded(t, true, func(keys state.KeyRange) float64 { return keys.Width() })
-	l.lies = func(server state.ServerID, report *backendapi.LoadReport) {
-		if server != fleetServer(1) {
+	l := newLoadedFleet(t, true, func(keys state.KeyRange) float64 { return keys.Width() })
+	l.alterReport = func(server state.ServerID, report *backendapi.LoadReport) {
+		if server != fleetServerID(1) {
 			return
 		}
 		report.Running = 1000
@@ -214,13 +218,14 @@
 		}
 	}
 	l.run(3 * time.Minute)
-	if l.mostMoves > 0 {
-		t.Errorf("a lying server made %d shards move", l.mostMoves)
+	if l.maxMoving > 0 {
+		t.Errorf("false load reports of one server caused moves: %d shards at once", l.maxMoving)
 	}
 }
 
-// After a loss of more shards than one batch holds, a second server that is
-// lost meanwhile gets none of them, and each server's set changes about once.
+// After the loss of more shards than one batch holds, assignments are proposed
+// server by server, so that each server's set changes only a few times. The lost
+// servers, including one that is lost meanwhile, end up with no shards.
 func TestLargeLossIsAssignedServerByServer(t *testing.T) {
 	f := newFleet(40, 4000)
 	f.core.config.MaxBatch = 50
@@ -228,18 +233,18 @@
 		f.tick()
 	}
 	for number := range 10 {
-		f.lost[fleetServer(number)] = true
+		f.lost[fleetServerID(number)] = true
 	}
 	for f.view.ActiveCount() == 0 {
 		f.tick()
 	}
 	versions := make(map[state.ServerID]int)
 	last := make(map[state.ServerID]state.Revision)
-	f.lost[fleetServer(20)] = true
-	for f.view.ActiveCount() > 0 || f.view.OwnedCount(fleetServer(20)) > 0 {
+	f.lost[fleetServerID(20)] = true
+	for f.view.ActiveCount() > 0 || f.view.OwnedCount(fleetServerID(20)) > 0 {
 		f.tick()
 		for number := 21; number < 40; number++ {
-			id := fleetServer(number)
+			id := fleetServerID(number)
 			if version := f.view.AssignmentVersion(id); version != last[id] {
 				versions[id]++
 				last[id] = version
@@ -248,12 +253,12 @@
 	}
 	for id, count := range versions {
 		if count > 8 {
-			t.Errorf("the set of %s changed %d times", id, count)
+			t.Errorf("the assignments of %s changed %d times, want at most 8", id, count)
 		}
 	}
 	for number := range 10 {
-		if f.view.OwnedCount(fleetServer(number)) > 0 {
-			t.Errorf("the lost server %d owns shards", number)
+		if f.view.OwnedCount(fleetServerID(number)) > 0 {
+			t.Errorf("lost server %d still owns shards", number)
 		}
 	}
 }
--- a/internal/coordinator/balancer.go
+++ b/internal/coordinator/balancer.go
@@ -9,83 +9,87 @@
 )
 
 const (
-	// reviewInterval is the time between two looks at the loads of a service.
+	// reviewInterval is the time between two reviews of a service's loads.
 	reviewInterval = 5 * time.Second
-	// reviewChunk bounds the shards, or their loads, that are taken over in one
-	// tick, so that a large service does not hold up the leader.
+	// reviewChunk bounds the shards or shard loads of a service that are copied
+	// into its layout in one tick, so that a large service does not block the
+	// leader.
 	reviewChunk = 2048
-	// maxParts bounds the new shards of one command that inherit a load.
-	maxParts = 64
+	// maxLoadSplits bounds the new shards of one command that get a share of the
+	// load of the shard that they were split from.
+	maxLoadSplits = 64
 )
 
-// balancer keeps the layouts of the services whose policy lets the controllers
-// move shards for the sake of balance. It lasts for one term of leadership.
+// balancer holds the services whose policy lets the controllers move shards to
+// balance load. It lasts for one term of leadership.
 type balancer struct {
-	services map[state.ServiceName]*balanced
+	services map[state.ServiceName]*balancedService
 }
 
 func newBalancer() *balancer {
-	return &balancer{services: make(map[state.ServiceName]*balanced)}
+	return &balancer{services: make(map[state.ServiceName]*balancedService)}
 }
 
-// balanced is one such service.
-type balanced struct {
+// balancedService holds the layout and the loads of one such service.
+type balancedService struct {
 	layout    *placement.Layout
 	estimator *placement.Estimator
-	// accounts counts since begin what servers report; reviewed is the account
-	// of the interval before, of which queue holds the servers still to look at.
-	accounts account
-	reviewed account
-	begin    time.Duration
-	queue    []state.ServerID
-	// merging holds merged shards that their owners have yet to confirm.
-	merging []state.ShardEpoch
-	// perRequest is the smoothed time that a request keeps a slot busy, in
-	// seconds; zero until a server told of busy slots.
-	perRequest float64
-	// filled is true once the layout holds every shard; until then it holds those
-	// of hashes below filledTo.
-	filled   bool
-	filledTo uint64
+	// current sums up the load reports since intervalStart. previous holds the
+	// totals of the interval before, of which the loads of serversToReview are
+	// yet to be applied.
+	current         loadTotals
+	previous        loadTotals
+	intervalStart   time.Duration
+	serversToReview []state.ServerID
+	// unconfirmedMerges are merged shards that their owners have not confirmed.
+	unconfirmedMerges []state.ShardEpoch
+	// requestSeconds is the smoothed time for which a request occupies a slot, in
+	// seconds; zero until a server has reported busy slots.
+	requestSeconds float64
+	// layoutComplete is true once the layout holds every shard; until then it
+	// holds those of hashes below layoutEnd.
+	layoutComplete bool
+	layoutEnd      uint64
 }
 
-// load returns a shard's smoothed load in busy slots, or zero when the service
-// is not balanced or the load not known.
-func (b *balancer) load(service state.ServiceName, shard state.ShardID) float64 {
-	known := b.services[service]
-	if known == nil {
+// shardLoad returns a shard's smoothed load in busy slots, or zero if the
+// service is not balanced or the load is unknown.
+func (b *balancer) shardLoad(service state.ServiceName, shard state.ShardID) float64 {
+	balanced := b.services[service]
+	if balanced == nil {
 		return 0
 	}
-	load, _ := known.estimator.ShardLoad(shard)
+	load, _ := balanced.estimator.ShardLoad(shard)
 	return load
 }
 
 func (b *balancer) serverLoad(service state.ServiceName, server state.ServerID) float64 {
-	known := b.services[service]
-	if known == nil {
+	balanced := b.services[service]
+	if balanced == nil {
 		return 0
 	}
-	return known.layout.ServerLoad(server)
+	return balanced.layout.ServerLoad(server)
 }
 
-// follow begins or ends the balancing of a service as its policy says.
-func (c *Coordinator) follow(now time.Duration, service state.Service, view *state.State) {
+// applyPolicy starts or stops the balancing of a service according to its policy.
+func (c *Coordinator) applyPolicy(now time.Duration, service state.Service, view *state.State) {
 	wanted := service.Placement.Automatic && service.Keyed && service.Mode != state.ModeObserved
-	known := c.balancer.services[service.Name]
+	balanced := c.balancer.services[service.Name]
 	switch {
 	case !wanted:
 		delete(c.balancer.services, service.Name)
-	case known == nil:
+	case balanced == nil:
 		c.balancer.services[service.Name] = c.newBalanced(now, service, view)
 	default:
-		known.layout.SetPolicy(service.Weights, limitsOf(service, view))
+		balanced.layout.SetPolicy(service.Weights, placementLimits(service, view))
 	}
 }
 
-// limitsOf takes the bounds from the service. A service that was created with
-// many shards may have twice as many before splits stop. Where merges bring
-// their number down again, the least number takes the place of the present one.
-func limitsOf(service state.Service, view *state.State) placement.Limits {
+// placementLimits returns the placement limits of a service. A service that was
+// created with many shards may double their number before splits stop. If its
+// policy allows merges, which reduce the number again, the limit is derived from
+// the minimum number of shards instead of the present one.
+func placementLimits(service state.Service, view *state.State) placement.Limits {
 	limits := placement.DefaultLimits()
 	limits.MaxMoves = service.MaxMoves
 	wanted := view.ShardCount(service.Name)
@@ -99,44 +103,44 @@
 	return limits
 }
 
-func (c *Coordinator) newBalanced(now time.Duration, service state.Service, view *state.State) *balanced {
-	created := &balanced{
-		layout:    placement.NewLayout(service.Weights, limitsOf(service, view)),
+func (c *Coordinator) newBalanced(now time.Duration, service state.Service, view *state.State) *balancedService {
+	created := &balancedService{
+		layout:    placement.NewLayout(service.Weights, placementLimits(service, view)),
 		estimator: placement.NewEstimator(placement.DefaultEstimatorConfig()),
-		accounts:  make(account), begin: now,
+		current:   make(loadTotals), intervalStart: now,
 	}
-	c.noteTakers(service.Name, created, view)
+	c.updateLayoutServers(service.Name, created, view)
 	return created
 }
 
-// fill takes some more of the service's shards into the layout, in the order of
-// their ranges, until it holds them all. What changes meanwhile comes by put.
-func (b *balanced) fill(now time.Duration, service state.ServiceName, view *state.State) {
+// fillLayout adds the next chunk of the service's shards to the layout, in the
+// order of their ranges. Shards that change meanwhile are updated by applyChanges.
+func (b *balancedService) fillLayout(now time.Duration, service state.ServiceName, view *state.State) {
 	for range reviewChunk {
-		shard, found := view.ShardAt(service, b.filledTo)
+		shard, found := view.ShardAt(service, b.layoutEnd)
 		if !found {
-			b.filled = true
+			b.layoutComplete = true
 			return
 		}
-		b.layout.PutShard(now, placed(shard))
-		b.filledTo = shard.Range.Last + 1
-		if b.filledTo == 0 {
-			b.filled = true
+		b.layout.PutShard(now, placementShard(shard))
+		b.layoutEnd = shard.Range.Last + 1
+		if b.layoutEnd == 0 {
+			b.layoutComplete = true
 			return
 		}
 	}
 }
 
-// placed returns a shard as placement sees it.
-func placed(shard state.Shard) placement.Shard {
+// placementShard converts a shard for the placement package.
+func placementShard(shard state.Shard) placement.Shard {
 	return placement.Shard{
 		ID: shard.ID, Range: shard.Range, Owner: shard.Owner, Epoch: shard.Epoch,
 		Moving: shard.Phase == state.ShardRevoking || shard.Target != "",
 	}
 }
 
-// put takes over the shards that one command changed.
-func (b *balancer) put(now time.Duration, objects []state.Object) {
+// applyChanges updates the layouts with the shards that one command changed.
+func (b *balancer) applyChanges(now time.Duration, objects []state.Object) {
 	if len(b.services) == 0 {
 		return
 	}
@@ -156,46 +160,47 @@
 		}
 	}
 	for _, shard := range gone {
-		b.services[shard.Service].absorb(kept, shard)
+		b.services[shard.Service].mergeLoad(kept, shard)
 	}
-	// A command that cuts shards makes few; others that come are not filled in yet.
-	for _, shard := range created[:min(len(created), maxParts)] {
-		b.services[shard.Service].inherit(kept, shard)
+	// A command that splits shards creates few of them. Other new shards belong to
+	// ranges that fillLayout has not reached.
+	for _, shard := range created[:min(len(created), maxLoadSplits)] {
+		b.services[shard.Service].splitLoad(kept, shard)
 	}
 	for _, shard := range slices.Concat(kept, created) {
-		known := b.services[shard.Service]
-		known.layout.PutShard(now, placed(shard))
-		load, _ := known.estimator.ShardLoad(shard.ID)
-		known.layout.SetLoad(shard.ID, load, 0, 0)
+		balanced := b.services[shard.Service]
+		balanced.layout.PutShard(now, placementShard(shard))
+		load, _ := balanced.estimator.ShardLoad(shard.ID)
+		balanced.layout.SetLoad(shard.ID, load, 0, 0)
 	}
 }
 
-// inherit gives a part that was cut off its share of the load of the shard that
-// held its keys.
-func (b *balanced) inherit(kept []state.Shard, created state.Shard) {
-	for _, option := range kept {
-		before, found := b.layout.Shard(option.ID)
-		if found && option.Service == created.Service && before.Range.Contains(created.Range.First) {
-			part := created.Range.Width() / before.Range.Width()
+// splitLoad gives a new shard that was split off its share of the load of the
+// shard that contained its range.
+func (b *balancedService) splitLoad(kept []state.Shard, created state.Shard) {
+	for _, candidate := range kept {
+		before, found := b.layout.Shard(candidate.ID)
+		if found && candidate.Service == created.Service && before.Range.Contains(created.Range.First) {
+			share := created.Range.Width() / before.Range.Width()
 			if before.HotShare > 0 && created.Range.Contains(before.HotHash) {
-				part = max(part, before.HotShare)
+				share = max(share, before.HotShare)
 			}
-			b.estimator.Split(option.ID, created.ID, min(part, 1))
+			b.estimator.Split(candidate.ID, created.ID, min(share, 1))
 			return
 		}
 	}
 }
 
-// absorb gives the load of a shard that is gone to the one that took its keys.
-func (b *balanced) absorb(kept []state.Shard, gone state.Shard) {
+// mergeLoad adds the load of a deleted shard to the one that took over its range.
+func (b *balancedService) mergeLoad(kept []state.Shard, gone state.Shard) {
 	before, found := b.layout.Shard(gone.ID)
 	if !found {
 		return
 	}
-	for _, option := range kept {
-		if option.Service == gone.Service && option.Range.Contains(before.Range.First) {
-			b.estimator.Merge(option.ID, gone.ID)
-			b.layout.MergeShard(option.ID, gone.ID)
+	for _, candidate := range kept {
+		if candidate.Service == gone.Service && candidate.Range.Contains(before.Range.First) {
+			b.estimator.Merge(candidate.ID, gone.ID)
+			b.layout.MergeShard(candidate.ID, gone.ID)
 			return
 		}
 	}
@@ -203,39 +208,42 @@
 	b.layout.RemoveShard(gone.ID)
 }
 
-// close ends the interval and begins to review it.
-func (b *balanced) close(now time.Duration) {
-	b.reviewed = b.accounts
-	b.accounts = make(account)
-	b.begin = now
-	b.learnTime()
-	b.queue = b.queue[:0]
-	for server, own := range b.reviewed {
-		if own.covered > 0 {
-			b.queue = append(b.queue, server)
+// closeInterval ends the interval and starts its review.
+func (b *balancedService) closeInterval(now time.Duration) {
+	b.previous = b.current
+	b.current = make(loadTotals)
+	b.intervalStart = now
+	b.updateRequestSeconds()
+	b.serversToReview = b.serversToReview[:0]
+	for server, totals := range b.previous {
+		if totals.duration > 0 {
+			b.serversToReview = append(b.serversToReview, server)
 		}
 	}
-	slices.Sort(b.queue)
+	slices.Sort(b.serversToReview)
 }
 
 const (
-	// lowTime is what a request counts, in seconds, while no server told of busy
-	// slots: so little that the reserve for the loss of a zone asks for nothing.
-	lowTime = 1e-4
-	// timeShare is the weight of the newest interval in the time of a request.
-	timeShare = 0.2
-	// enoughBusy is the number of busy slots, summed over the reports of an
-	// interval, from which a server's word on them is more than noise.
-	enoughBusy = 64
+	// defaultRequestSeconds is the assumed time of a request while no server has
+	// reported busy slots. It is so short that the capacity reserved for the loss of
+	// a zone has no effect.
+	defaultRequestSeconds = 1e-4
+	// requestSecondsWeight is the weight of the newest interval in the smoothed
+	// time of a request.
+	requestSecondsWeight = 0.2
+	// minBusySlots is the number of busy slots, summed over the reports of an
+	// interval, below which a server's reports of them are treated as noise.
+	minBusySlots = 64
 )
 
-// learnTime takes the time of a request from the interval: the median of the
-// servers' words, which a minority of wrong ones cannot move far.
-func (b *balanced) learnTime() {
-	times := make([]float64, 0, len(b.reviewed))
-	for _, own := range b.reviewed {
-		if own.executed > 0 && own.covered > 0 && own.busy > 0 {
-			times = append(times, own.busy/float64(own.reports)/own.rate(own.executed))
+// updateRequestSeconds updates the smoothed time of a request from the closed
+// interval. It uses the median over the servers, which a minority of wrong reports
+// cannot change much.
+func (b *balancedService) updateRequestSeconds() {
+	times := make([]float64, 0, len(b.previous))
+	for _, totals := range b.previous {
+		if totals.requests > 0 && totals.duration > 0 && totals.busySlots > 0 {
+			times = append(times, totals.busySlots/float64(totals.reports)/totals.perSecond(totals.requests))
 		}
 	}
 	if len(times) == 0 {
@@ -243,29 +251,29 @@
 	}
 	slices.Sort(times)
 	median := times[len(times)/2]
-	if b.perRequest == 0 {
-		b.perRequest = median
+	if b.requestSeconds == 0 {
+		b.requestSeconds = median
 	}
-	b.perRequest += timeShare * (median - b.perRequest)
+	b.requestSeconds += requestSecondsWeight * (median - b.requestSeconds)
 }
 
-// take takes over the loads of some of the servers.
-func (b *balanced) take(now time.Duration) {
-	for taken := 0; taken < reviewChunk && len(b.queue) > 0; {
-		server := b.queue[0]
-		b.queue = b.queue[1:]
-		taken += b.takeServer(now, server, b.reviewed[server]) + 1
+// applyNextLoads applies the loads of the next chunk of servers.
+func (b *balancedService) applyNextLoads(now time.Duration) {
+	for applied := 0; applied < reviewChunk && len(b.serversToReview) > 0; {
+		server := b.serversToReview[0]
+		b.serversToReview = b.serversToReview[1:]
+		applied += b.applyServerLoads(now, server, b.previous[server]) + 1
 	}
 }
 
-// takeServer takes over the loads of one server's shards and returns how many
-// there are. Those that it did not name executed nothing.
-func (b *balanced) takeServer(now time.Duration, server state.ServerID, own *serverAccount) int {
+// applyServerLoads applies the loads of one server's shards and returns the number
+// of these shards. Shards that the server did not report executed no requests.
+func (b *balancedService) applyServerLoads(now time.Duration, server state.ServerID, totals *serverTotals) int {
 	shards := b.layout.Owned(server)
-	counted := own.byShard()
+	counted := totals.byShard()
 	observations := make([]placement.Observation, 0, len(shards))
 	for _, shard := range shards {
-		observations = append(observations, b.observation(shard.ID, counted[shard.ID].Requests, own))
+		observations = append(observations, b.observation(shard.ID, counted[shard.ID].Requests, totals))
 	}
 	b.estimator.Observe(now, observations)
 	for _, shard := range shards {
@@ -276,13 +284,14 @@
 	return len(shards)
 }
 
-// observation checks the two words of a server against each other: its counted
-// executions, at the time that a request takes on all servers, bound what it
-// says of its busy slots.
-func (b *balanced) observation(id state.ShardID, executed uint64, own *serverAccount) placement.Observation {
-	observation := placement.Observation{Shard: id, Routed: own.rate(executed) * max(b.perRequest, lowTime), RoutedKnown: true}
-	if own.executed > 0 && own.busy >= enoughBusy {
-		observation.Reported = float64(executed) / float64(own.executed) * own.busy / float64(own.reports)
+// observation returns the load of a shard from two sources, which the estimator
+// checks against each other: the requests that its server counted, each at the
+// time that a request takes on all servers, bound the server's own report of busy
+// slots.
+func (b *balancedService) observation(id state.ShardID, requests uint64, totals *serverTotals) placement.Observation {
+	observation := placement.Observation{Shard: id, Routed: totals.perSecond(requests) * max(b.requestSeconds, defaultRequestSeconds), RoutedKnown: true}
+	if totals.requests > 0 && totals.busySlots >= minBusySlots {
+		observation.Reported = float64(requests) / float64(totals.requests) * totals.busySlots / float64(totals.reports)
 		observation.ReportedKnown = true
 	}
 	return observation
--- a/internal/coordinator/bench_test.go
+++ b/internal/coordinator/bench_test.go
@@ -9,19 +9,19 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
-// fleet is a large service whose servers answer at once.
+// fleet runs a coordinator with a large service whose servers answer immediately.
 type fleet struct {
 	now   time.Duration
 	index uint64
 	view  *state.State
 	core  *Coordinator
 	lost  map[state.ServerID]bool
-	// report makes a server's load report; nil reports nothing.
+	// report returns a server's load report; if nil, reports are empty.
 	report func(server state.ServerID, loads bool) backendapi.LoadReport
-	// proposed, when not nil, is told of each proposal before it is applied.
-	proposed func(command state.Command)
-	// sets counts the whole sets of shards that servers were sent.
-	sets int
+	// onProposal, if not nil, is called with each proposal before it is applied.
+	onProposal func(command state.Command)
+	// fullSets counts the messages that replace a server's whole set of shards.
+	fullSets int
 }
 
 func newFleet(servers, shards int) *fleet {
@@ -29,19 +29,19 @@
 	operations := []state.Operation{{PutService: &state.Service{Name: "s", Keyed: true, MaxMoves: 64}}}
 	for number := range servers {
 		operations = append(operations, state.Operation{PutServer: &state.Server{
-			ID: fleetServer(number), Service: "s", Zone: string(rune('a' + number%7)), Slots: 4, Intent: state.ServerActive,
+			ID: fleetServerID(number), Service: "s", Zone: string(rune('a' + number%7)), Slots: 4, Intent: state.ServerActive,
 		}})
 	}
 	operations = append(operations, state.Operation{CreateShards: &state.CreateShards{Service: "s", Count: shards}})
 	f.apply(state.Command{StorePlan: &state.StorePlan{Plan: state.Plan{ID: "create", Operations: operations}}})
 	f.apply(state.Command{ConfirmPlan: &state.ConfirmPlan{Plan: "create"}})
 	for number := range servers {
-		f.apply(state.Command{OpenSession: &state.OpenSession{Server: fleetServer(number), Incarnation: "one"}})
+		f.apply(state.Command{OpenSession: &state.OpenSession{Server: fleetServerID(number), Incarnation: "one"}})
 	}
 	assign := &state.AssignShards{}
 	for position, shard := range f.view.ShardsOf("s") {
 		assign.Assignments = append(assign.Assignments, state.ShardAssignment{
-			Shard: shard.ID, Server: fleetServer(position % servers), Session: 1,
+			Shard: shard.ID, Server: fleetServerID(position % servers), Session: 1,
 		})
 	}
 	f.apply(state.Command{AssignShards: assign})
@@ -52,15 +52,15 @@
 	return f
 }
 
-func fleetServer(number int) state.ServerID {
+func fleetServerID(number int) state.ServerID {
 	return state.ServerID(fmt.Sprintf("server-%04d", number))
 }
 
 // stagger spreads the first messages to the servers, and with them all later
 // ones, over a renewal interval.
 func (f *fleet) stagger() {
-	for position, known := range f.core.ordered {
-		known.next = f.now + f.core.config.RenewInterval*time.Duration(position)/time.Duration(len(f.core.ordered))
+	for position, tracker := range f.core.orderedTrackers {
+		tracker.nextMessageAt = f.now + f.core.config.RenewInterval*time.Duration(position)/time.Duration(len(f.core.orderedTrackers))
 	}
 }
 
@@ -81,7 +81,7 @@
 	}
 }
 
-// tick runs one tick and everything that follows from it.
+// tick runs one tick and carries out its actions.
 func (f *fleet) tick() {
 	const interval = 10 * time.Millisecond
 	f.now += interval
@@ -90,15 +90,15 @@
 		f.core.RoundConfirmed(f.now, actions.Round)
 	}
 	for _, proposal := range actions.Proposals {
-		if f.proposed != nil {
-			f.proposed(proposal.Command)
+		if f.onProposal != nil {
+			f.onProposal(proposal.Command)
 		}
 		f.apply(proposal.Command)
 		f.core.ProposalDone(proposal.Token)
 	}
 	for _, send := range actions.Sends {
 		if send.Request.Replace {
-			f.sets++
+			f.fullSets++
 		}
 		if f.lost[send.Server] {
 			f.core.Failed(send.Server, send.Request.Fence.Sequence)
@@ -117,8 +117,8 @@
 
 var fleetSizes = []struct{ servers, shards int }{{1_000, 50_000}, {3_000, 200_000}, {6_200, 530_000}}
 
-// BenchmarkTick measures a tick of 10 ms in a fleet where nothing happens but
-// renewals, each server answering every 150 ms.
+// BenchmarkTick measures one of the ticks that run every 10 ms, in a fleet with only
+// renewals, where each server answers every 150 ms.
 func BenchmarkTick(b *testing.B) {
 	for _, size := range fleetSizes {
 		b.Run(fmt.Sprintf("servers=%d/shards=%d", size.servers, size.shards), func(b *testing.B) {
@@ -133,8 +133,8 @@
 	}
 }
 
-// BenchmarkLoss measures the work, summed over ticks, from the end of the
-// leases of 14 servers until each of their shards has an owner.
+// BenchmarkLoss measures the work, summed over ticks, of closing the sessions of
+// 14 lost servers and assigning their shards.
 func BenchmarkLoss(b *testing.B) {
 	const lost = 14
 	for _, size := range fleetSizes {
@@ -146,23 +146,23 @@
 			begin := 0
 			for b.Loop() {
 				for number := range lost {
-					f.lost[fleetServer(begin+number)] = true
+					f.lost[fleetServerID(begin+number)] = true
 				}
 				begin += lost
 				for range 120 {
 					f.tick()
 				}
 			}
-			if owned := f.view.OwnedCount(fleetServer(0)); owned != 0 {
+			if owned := f.view.OwnedCount(fleetServerID(0)); owned != 0 {
 				b.Errorf("a lost server still owns %d shards", owned)
 			}
 		})
 	}
 }
 
-// BenchmarkZoneLoss measures the work from the end of the leases of one server
-// in seven until every shard has an owner, and on the fleet's clock how long
-// shards had none.
+// BenchmarkZoneLoss measures the work from the end of the first lease after the
+// loss of every seventh server until every shard has an owner, and the time which
+// that takes on the fleet's clock.
 func BenchmarkZoneLoss(b *testing.B) {
 	for _, size := range fleetSizes {
 		b.Run(fmt.Sprintf("servers=%d/shards=%d", size.servers, size.shards), func(b *testing.B) {
@@ -174,19 +174,19 @@
 					f.tick()
 				}
 				for number := 0; number < size.servers; number += 7 {
-					f.lost[fleetServer(number)] = true
+					f.lost[fleetServerID(number)] = true
 				}
 				for f.view.ActiveCount() == 0 {
 					f.tick()
 				}
 				began := f.now
-				f.sets = 0
+				f.fullSets = 0
 				b.StartTimer()
 				for f.view.ActiveCount() > 0 || f.lostShards() > 0 {
 					f.tick()
 				}
 				b.ReportMetric(float64((f.now - began).Milliseconds()), "fleet-ms")
-				b.ReportMetric(float64(f.sets), "sets")
+				b.ReportMetric(float64(f.fullSets), "sets")
 			}
 		})
 	}
--- a/internal/coordinator/closures.go
+++ b/internal/coordinator/closures.go
@@ -7,26 +7,27 @@
 )
 
 const (
-	// manyClosures is how many sessions end at a time when more than some
-	// machines are lost. Their leases end spread over a renewal interval.
+	// manyClosures is the number of sessions ending at the same time from which
+	// the loss is taken for that of more than a few machines. The leases of lost
+	// servers end spread over a renewal interval.
 	manyClosures = 16
-	// closurePace is then the least time between two ticks that close sessions.
-	// A change of some thousand shards copies most of a router's table, so that
-	// a few large ones are over before many small ones.
-	closurePace = 50 * time.Millisecond
-	// maxClosedShards bounds the shards of one entry, but for those of its last
-	// server.
+	// closureInterval is then the minimum time between two ticks that close
+	// sessions. A change of a few thousand shards makes a router copy most of its
+	// table, so a few large changes take less time than many small ones.
+	closureInterval = 50 * time.Millisecond
+	// maxClosedShards bounds the shards that one log entry affects, except for
+	// those of its last server.
 	maxClosedShards = 32_768
 )
 
-// closeEnded proposes the end of the sessions that this tick found to have
-// ended, each by its own lease. Those of a zone go into few entries, so that
-// followers and routers take one change for many of them.
-func (c *Coordinator) closeEnded(now time.Duration, view *state.State, actions *Actions) {
-	ended := c.ended
-	c.ended = nil
+// closeEndedSessions proposes the end of the sessions whose own last lease this
+// tick found expired. The sessions of a lost zone are batched in a few log
+// entries, so that followers and routers apply one change for many of them.
+func (c *Coordinator) closeEndedSessions(now time.Duration, view *state.State, actions *Actions) {
+	ended := c.closingTrackers
+	c.closingTrackers = nil
 	if len(ended) >= manyClosures {
-		c.closeAfter = max(c.closeAfter, now+closurePace)
+		c.closeAfter = max(c.closeAfter, now+closureInterval)
 	}
 	for len(ended) > 0 {
 		count, shards := 0, 0
@@ -39,18 +40,18 @@
 	}
 }
 
-func (c *Coordinator) proposeClosures(ended []*contact, actions *Actions) {
+func (c *Coordinator) proposeClosures(ended []*serverTracker, actions *Actions) {
 	sessions := make([]state.CloseSession, 0, len(ended))
-	for _, known := range ended {
-		sessions = append(sessions, state.CloseSession{Server: known.server, Session: known.closing})
+	for _, tracker := range ended {
+		sessions = append(sessions, state.CloseSession{Server: tracker.server, Session: tracker.closingSession})
 	}
 	command := state.Command{CloseSessions: &state.CloseSessions{Sessions: sessions}}
 	if len(sessions) == 1 {
 		command = state.Command{CloseSession: &sessions[0]}
 	}
 	token := c.propose(actions, command)
-	c.awaiting[token] = ended
-	for _, known := range ended {
-		known.pendingSession = token
+	c.proposalTrackers[token] = ended
+	for _, tracker := range ended {
+		tracker.pendingSession = token
 	}
 }
--- a/internal/coordinator/closures_test.go
+++ b/internal/coordinator/closures_test.go
@@ -7,8 +7,8 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
-// TestSessionsEndTogether: the sessions of servers that go silent together end in
-// few entries, and each only after its own last lease surely ended.
+// TestSessionsEndTogether: the sessions of servers that fail together are closed in
+// a few log entries, and each only after its own last lease has expired.
 func TestSessionsEndTogether(t *testing.T) {
 	const servers, lost = 140, 40
 	f := newFleet(servers, 1400)
@@ -18,10 +18,10 @@
 	}
 	renewed := make(map[state.ServerID]time.Duration)
 	for number := 0; number < lost*3; number += 3 {
-		f.lost[fleetServer(number)] = true
+		f.lost[fleetServerID(number)] = true
 	}
 	entries, closed := 0, 0
-	f.proposed = func(command state.Command) {
+	f.onProposal = func(command state.Command) {
 		var sessions []state.CloseSession
 		switch {
 		case command.CloseSession != nil:
@@ -34,19 +34,19 @@
 		entries++
 		for _, session := range sessions {
 			closed++
-			if f.now <= renewed[session.Server]+waitOut {
-				t.Errorf("%s was renewed at %v and closed at %v", session.Server, renewed[session.Server], f.now)
+			if f.now <= renewed[session.Server]+leaseWait {
+				t.Errorf("session of %s was closed before its lease expired: renewed at %v, closed at %v", session.Server, renewed[session.Server], f.now)
 			}
 		}
 	}
 	for range 200 {
 		for server := range f.lost {
-			renewed[server] = f.core.contacts[server].renewedAt
+			renewed[server] = f.core.trackers[server].renewedAt
 		}
 		f.tick()
 	}
 	if closed != lost || entries > lost/2 {
-		t.Errorf("%d sessions ended in %d entries, want %d in at most %d", closed, entries, lost, lost/2)
+		t.Errorf("%d sessions were closed in %d log entries, want %d in at most %d", closed, entries, lost, lost/2)
 	}
 	if left := f.view.ActiveCount(); left != 0 {
 		t.Errorf("%d shards have no owner", left)
@@ -54,8 +54,9 @@
 }
 
 // TestOwnersAreChosenTogether: while the sessions of many servers are about to
-// end, shards without an owner wait for the rest, but not for longer than the
-// rest takes.
+// end, unowned shards wait and are assigned together, so that the remaining servers
+// get at most one new set each on average. They wait no longer than these sessions
+// take to end.
 func TestOwnersAreChosenTogether(t *testing.T) {
 	const servers, lost = 140, 40
 	f := newFleet(servers, 1400)
@@ -64,36 +65,36 @@
 		f.tick()
 	}
 	for number := 0; number < lost*3; number += 3 {
-		f.lost[fleetServer(number)] = true
+		f.lost[fleetServerID(number)] = true
 	}
-	f.sets = 0
+	f.fullSets = 0
 	for range 200 {
 		f.tick()
 	}
 	if left := f.view.ActiveCount() + f.lostShards(); left != 0 {
 		t.Errorf("%d shards have no owner", left)
 	}
-	if most := servers - lost; f.sets > most {
-		t.Errorf("the remaining servers took %d sets, want at most %d", f.sets, most)
+	if most := servers - lost; f.fullSets > most {
+		t.Errorf("the remaining servers were sent %d full sets, want at most %d", f.fullSets, most)
 	}
 }
 
-// TestWaitForClosuresIsBounded: servers that go silent again and again do not
-// keep shards from an owner.
+// TestWaitForClosuresIsBounded: servers that keep failing must not delay the
+// assignment of unowned shards without bound.
 func TestWaitForClosuresIsBounded(t *testing.T) {
-	b := newBench(t)
-	b.core.ending = manyClosures
-	limit := testConfig.RenewInterval + 2*closurePace
-	if !b.core.awaitsClosures(b.now, b.view) || !b.core.awaitsClosures(b.now+limit-1, b.view) {
-		t.Error("shards do not wait for many sessions that end")
+	h := newHarness(t)
+	h.core.endingSoon = manyClosures
+	limit := testConfig.RenewInterval + 2*closureInterval
+	if !h.core.awaitsClosures(h.now, h.view) || !h.core.awaitsClosures(h.now+limit-1, h.view) {
+		t.Error("unowned shards do not wait although many sessions are about to end")
 	}
-	if b.core.awaitsClosures(b.now+limit, b.view) {
-		t.Errorf("shards wait longer than %v", limit)
+	if h.core.awaitsClosures(h.now+limit, h.view) {
+		t.Errorf("unowned shards wait longer than %v", limit)
 	}
-	b.core.ending = 0
-	b.core.awaitsClosures(b.now, b.view)
-	b.core.ending = manyClosures - 1
-	if b.core.awaitsClosures(b.now, b.view) {
-		t.Error("shards wait for few sessions")
+	h.core.endingSoon = 0
+	h.core.awaitsClosures(h.now, h.view)
+	h.core.endingSoon = manyClosures - 1
+	if h.core.awaitsClosures(h.now, h.view) {
+		t.Error("unowned shards wait although few sessions are about to end")
 	}
 }
--- a/internal/coordinator/contact.go
+++ b/internal/coordinator/contact.go
@@ -7,113 +7,123 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
-// contact is what this leader knows of one server process. It lasts for one
-// term of leadership.
-type contact struct {
+// serverTracker tracks one server and the process that answers for it. It lasts
+// for one term of leadership.
+type serverTracker struct {
 	server state.ServerID
-	// next is when the next message is due.
-	next time.Duration
-	// sequence is the last one sent; with the term it fences messages.
-	sequence uint64
-	inFlight bool
-	// answered is true until the tick after an answer.
-	answered bool
-	// eager asks for a renewal as soon as a quorum round covers the reading.
-	eager bool
-	// incarnation is the process that answered last; empty before that.
+	// nextMessageAt is when the next message is due.
+	nextMessageAt time.Duration
+	// sequence is that of the last message sent; with the term it is the fence
+	// that orders messages.
+	sequence        uint64
+	messageInFlight bool
+	// newAnswer is true from an answer until the next tick.
+	newAnswer bool
+	// renewAfterRound asks for a renewal as soon as a quorum round covers the clock
+	// reading.
+	renewAfterRound bool
+	// incarnation is that of the process that answered last; empty before the first
+	// answer.
 	incarnation string
-	// reading is that process's clock, received at readingAt.
-	reading   int64
-	readingAt time.Duration
-	// renewedAt is the newest moment from which a lease may count, be it given
-	// by this leader or by one before.
+	// clockReading is that process's clock in nanoseconds, received at readingAt,
+	// which is -1 before the first answer.
+	clockReading int64
+	readingAt    time.Duration
+	// renewedAt is the latest time from which a lease may count, whether this
+	// leader or an earlier one granted it.
 	renewedAt time.Duration
-	// tracked is the open session that renewedAt belongs to.
-	tracked state.SessionNumber
-	// closing is the session whose end was proposed; it is never renewed again.
-	closing state.SessionNumber
-	// session is the one that the last answer was given under.
-	session  state.SessionNumber
-	version  state.Revision
-	running  []backendapi.Assignment
-	draining bool
-	load     backendapi.LoadReport
-	// observed and claims are what the process serves by its own authority.
+	// trackedSession is the open session that renewedAt belongs to.
+	trackedSession state.SessionNumber
+	// closingSession is the session whose end was proposed; it is never renewed
+	// again.
+	closingSession state.SessionNumber
+	// answeredSession, assignmentVersion, running, draining and load are from the
+	// last answer: its session, the version of the assignments in force, the ranges
+	// in which requests still execute, and the process's state and load.
+	answeredSession   state.SessionNumber
+	assignmentVersion state.Revision
+	running           []backendapi.Assignment
+	draining          bool
+	load              backendapi.LoadReport
+	// observed is true while the process serves its own claims, without a lease.
 	observed bool
 	claims   []backendapi.Assignment
-	// fenceTerm is the term of the newest message that the process took.
+	// fenceTerm is the term of the newest message that the process accepted.
 	fenceTerm uint64
-	// open is true while the server's session is open.
-	open bool
-	// service is the server's; readyAt is when its open session began, and
-	// openedAs the number of that session.
-	service  state.ServiceName
-	readyAt  time.Duration
-	openedAs state.SessionNumber
-	// loadAt is when shard loads came last, -1 before that; asked is true while
-	// the message in flight asks for them.
-	loadAt time.Duration
-	asked  bool
+	// sessionOpen is true while the server's session is open.
+	sessionOpen bool
+	// readyAt is when the server's open session began, and readySession the number
+	// of that session.
+	service      state.ServiceName
+	readyAt      time.Duration
+	readySession state.SessionNumber
+	// shardLoadsAt is when shard loads last arrived, -1 before the first;
+	// loadsRequested is true while the message in flight asks for them.
+	shardLoadsAt   time.Duration
+	loadsRequested bool
 	// withdrawn is true while operators or the platform want the server to give
 	// up its shards.
 	withdrawn bool
-	// failures counts messages without an answer, since the last answer.
+	// failures counts the messages without an answer since the last answer.
 	failures int
-	// pendingSession and pendingRelease are the tokens of open proposals.
+	// pendingSession is the token of an open proposal to open or close a session,
+	// pendingRelease that of one to release shards or to end a retirement; zero for
+	// none.
 	pendingSession uint64
 	pendingRelease uint64
 }
 
-// fence returns the next fence for a message to the server.
-func (c *contact) fence(term uint64) backendapi.Fence {
-	c.sequence++
-	return backendapi.Fence{Term: term, Sequence: c.sequence}
+// nextFence returns the fence of the next message to the server.
+func (t *serverTracker) nextFence(term uint64) backendapi.Fence {
+	t.sequence++
+	return backendapi.Fence{Term: term, Sequence: t.sequence}
 }
 
-// begin starts to track a session that was not seen open before, and reports
-// whether it did. Nothing is known yet of leases in it, so it counts as renewed.
-func (c *contact) begin(now time.Duration, session state.Session) bool {
-	if !session.Open || session.Number == c.tracked {
+// trackSession starts to track a session that was not seen open before, and
+// reports whether it did. Nothing is known about leases granted in it, so it
+// counts as renewed now.
+func (t *serverTracker) trackSession(now time.Duration, session state.Session) bool {
+	if !session.Open || session.Number == t.trackedSession {
 		return false
 	}
-	c.tracked = session.Number
-	c.renewedAt = max(c.renewedAt, now)
+	t.trackedSession = session.Number
+	t.renewedAt = max(t.renewedAt, now)
 	return true
 }
 
-// isSilent reports whether the server was asked in this term of leadership and
-// has not answered. Its open session, if there is one, is of an earlier leader,
-// since this one opens none without an answer, and is counted from the last quorum
-// round that an earlier leader can have begun. A server that answers has a whole
-// lease from the election for its renewal, so that a leader which needs long for
-// many servers closes no session of a living one.
-func (c *contact) isSilent() bool {
-	return c.readingAt < 0 && c.failures > 0
+// isSilent reports whether messages to the server failed in this term of
+// leadership and none was answered. Its open session, if any, was opened by an
+// earlier leader, because this one opens none without an answer. Its lease is
+// counted from the last quorum round that an earlier leader can have begun. For a
+// server that answers, the lease is counted from the election, so that a leader
+// that takes long to reach many servers closes no session of a live one.
+func (t *serverTracker) isSilent() bool {
+	return t.readingAt < 0 && t.failures > 0
 }
 
-// learn takes over what an answer says about the process.
-func (c *contact) learn(now time.Duration, answer backendapi.LeaseAnswer) {
-	if answer.Incarnation != c.incarnation {
-		c.incarnation = answer.Incarnation
-		c.version = 0
-		c.running = nil
+// recordAnswer stores what an answer says about the process.
+func (t *serverTracker) recordAnswer(now time.Duration, answer backendapi.LeaseAnswer) {
+	if answer.Incarnation != t.incarnation {
+		t.incarnation = answer.Incarnation
+		t.assignmentVersion = 0
+		t.running = nil
 	}
-	c.failures = 0
-	c.reading = answer.ClockNs
-	c.readingAt = now
-	c.session = state.SessionNumber(answer.Session)
-	c.version = state.Revision(answer.Version)
-	c.running = answer.Running
-	c.draining = answer.Draining
-	c.load = answer.Load
-	c.observed = answer.Observed
-	c.claims = answer.Claims
-	c.fenceTerm = answer.Fence.Term
+	t.failures = 0
+	t.clockReading = answer.ClockNs
+	t.readingAt = now
+	t.answeredSession = state.SessionNumber(answer.Session)
+	t.assignmentVersion = state.Revision(answer.Version)
+	t.running = answer.Running
+	t.draining = answer.Draining
+	t.load = answer.Load
+	t.observed = answer.Observed
+	t.claims = answer.Claims
+	t.fenceTerm = answer.Fence.Term
 }
 
-// runs reports whether the server still executes requests in the range.
-func (c *contact) runs(keys state.KeyRange) bool {
-	for _, running := range c.running {
+// executesIn reports whether the server still executes requests in the range.
+func (t *serverTracker) executesIn(keys state.KeyRange) bool {
+	for _, running := range t.running {
 		if running.First <= keys.Last && keys.First <= running.Last {
 			return true
 		}
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -8,66 +8,79 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
-// Coordinator is the core. It is not safe for concurrent use.
+// Coordinator makes the decisions of the leading controller. It is not safe for
+// concurrent use.
 type Coordinator struct {
 	config Config
 	// leading is true between Lead and Follow.
 	leading   bool
 	term      uint64
 	leadSince time.Duration
-	// quiet is a time before leadSince in which no quorum round of an earlier
-	// leader began, by this controller's clock.
-	quiet    time.Duration
-	contacts map[state.ServerID]*contact
-	// ordered holds the contacts by server, for a fixed order of actions.
-	ordered []*contact
-	// leaving holds, in the same order, those that are to give up their shards.
-	leaving []*contact
-	// awaiting finds the contacts that an open proposal belongs to.
-	awaiting map[uint64][]*contact
-	// ended are the contacts whose sessions this tick found to have ended.
-	ended []*contact
-	// opening are the sessions that this tick is to open, and openers their contacts.
-	opening []state.OpenSession
-	openers []*contact
-	// ending counts the silent servers whose sessions end soon. gatheringSince is
-	// when shards began to wait for the end of many, -1 while none do.
-	ending         int
-	gatheringSince time.Duration
-	// newestReading is the newest readingAt of any contact.
-	newestReading time.Duration
-	// lastTick and closeAfter keep a leader that was itself paused from closing
-	// sessions before it has asked the servers again; closeAfter also paces the
-	// entries by which many sessions are closed.
-	lastTick   time.Duration
+	// quietTime is how long before leadSince no quorum round of an earlier leader
+	// began, by this controller's clock.
+	quietTime time.Duration
+	trackers  map[state.ServerID]*serverTracker
+	// orderedTrackers holds the trackers sorted by server, for a fixed order of
+	// actions.
+	orderedTrackers []*serverTracker
+	// leaving holds, in the same order, those of servers that are to give up their
+	// shards.
+	leaving []*serverTracker
+	// proposalTrackers maps the token of an open proposal to the trackers that it
+	// concerns.
+	proposalTrackers map[uint64][]*serverTracker
+	// closingTrackers are those of servers whose last lease this tick found
+	// expired, so that their sessions are to be closed.
+	closingTrackers []*serverTracker
+	// sessionsToOpen are the sessions that this tick is to open, and openingTrackers
+	// their trackers.
+	sessionsToOpen  []state.OpenSession
+	openingTrackers []*serverTracker
+	// endingSoon counts the servers with failed messages whose sessions end soon.
+	// assignmentsDelayedSince is when unowned shards began to wait for the end of
+	// many sessions, -1 while none wait.
+	endingSoon              int
+	assignmentsDelayedSince time.Duration
+	// newestReadingAt is the latest readingAt of any tracker.
+	newestReadingAt time.Duration
+	// lastTickAt and closeAfter prevent a leader that was itself paused from closing
+	// sessions before it has messaged the servers again. No session is closed until
+	// after closeAfter, which also spaces the log entries that close many sessions.
+	lastTickAt time.Duration
 	closeAfter time.Duration
 	// lastToken and lastRound number proposals and quorum rounds.
 	lastToken uint64
 	lastRound uint64
-	// roundStarted is when the newest round began; roundOpen is true until it
-	// is confirmed. confirmedAt is when the newest confirmed round began.
-	roundStarted time.Duration
-	roundOpen    bool
-	confirmedAt  time.Duration
-	// pendingAssign, pendingRevoke and pendingBalance are the tokens of open proposals.
+	// roundStartedAt is when the newest round began; roundPending is true until it
+	// is confirmed. confirmedAt is when the newest confirmed round began, -1 before
+	// the first of this term.
+	roundStartedAt time.Duration
+	roundPending   bool
+	confirmedAt    time.Duration
+	// pendingAssign, pendingRevoke and pendingBalance are the tokens of open
+	// proposals, zero for none.
 	pendingAssign  uint64
 	pendingRevoke  uint64
 	pendingBalance uint64
-	// assignments are chosen and wait to be proposed.
-	assignments []state.ShardAssignment
-	balancer    *balancer
-	// founding is when this leader first looked for owners of a new service's
-	// shards.
-	founding map[state.ServiceName]time.Duration
-	// handovers measures the moves of this term.
+	// queuedAssignments are chosen but not yet proposed.
+	queuedAssignments []state.ShardAssignment
+	balancer          *balancer
+	// newServiceSince is when this leader first looked for owners of a new
+	// service's shards.
+	newServiceSince map[state.ServiceName]time.Duration
+	// handovers measures the durations of moves in this term.
 	handovers *handovers
-	// changedServices are those whose policy is to be looked at.
+	// changedServices are those whose policy is to be applied at the next tick.
 	changedServices []state.ServiceName
 }
 
 // New returns a coordinator that does nothing until Lead.
 func New(config Config) *Coordinator {
-	return &Coordinator{config: config, contacts: make(map[state.ServerID]*contact), awaiting: make(map[uint64][]*contact), balancer: newBalancer(), handovers: newHandovers(), founding: make(map[state.ServiceName]time.Duration)}
+	return &Coordinator{
+		config: config, trackers: make(map[state.ServerID]*serverTracker),
+		proposalTrackers: make(map[uint64][]*serverTracker),
+		balancer:         newBalancer(), handovers: newHandovers(), newServiceSince: make(map[state.ServiceName]time.Duration),
+	}
 }
 
 // Lead begins a term of leadership. The replicated state must hold every
@@ -78,79 +91,80 @@
 	c.term = term
 	c.leadSince = now
 	c.confirmedAt = -1
-	c.lastTick = now
+	c.lastTickAt = now
 	for _, server := range view.Servers() {
-		known := c.ensureContact(server.ID, now)
-		c.noteServer(known, server)
-		// A session that this leader found open began long ago, as far as it knows.
-		known.readyAt = now - warmAge
+		tracker := c.ensureTracker(server.ID, now)
+		c.updateServer(tracker, server)
+		// The start of a session that was open before the election is unknown; its
+		// server counts as warm.
+		tracker.readyAt = now - pastWarmUp
 	}
 	for _, service := range view.Services() {
 		c.changedServices = append(c.changedServices, service.Name)
 	}
 }
 
-// warmAge is longer than any ramp of a new server.
-const warmAge = time.Hour
+// pastWarmUp is longer than the load ramp of any new server.
+const pastWarmUp = time.Hour
 
-// Follow ends a term of leadership. All that was known of servers is dropped.
+// Follow ends a term of leadership and drops all that was learnt in it.
 func (c *Coordinator) Follow() {
 	c.leading = false
-	c.quiet = 0
-	c.contacts = make(map[state.ServerID]*contact)
-	c.ordered = nil
+	c.quietTime = 0
+	c.trackers = make(map[state.ServerID]*serverTracker)
+	c.orderedTrackers = nil
 	c.leaving = nil
-	c.awaiting = make(map[uint64][]*contact)
-	c.newestReading = -1
-	c.roundOpen = false
+	c.proposalTrackers = make(map[uint64][]*serverTracker)
+	c.newestReadingAt = -1
+	c.roundPending = false
 	c.pendingAssign = 0
 	c.pendingRevoke = 0
 	c.pendingBalance = 0
-	c.assignments = nil
-	c.gatheringSince = -1
+	c.queuedAssignments = nil
+	c.assignmentsDelayedSince = -1
 	c.balancer = newBalancer()
 	c.handovers = newHandovers()
-	c.founding = make(map[state.ServiceName]time.Duration)
+	c.newServiceSince = make(map[state.ServiceName]time.Duration)
 	c.changedServices = nil
 }
 
-// Changed tells the coordinator which objects a command changed.
+// Changed updates the coordinator with the objects that a command changed.
 func (c *Coordinator) Changed(now time.Duration, objects []state.Object) {
 	if !c.leading {
 		return
 	}
 	for _, object := range objects {
 		if object.Shard != nil && !object.Deleted {
-			c.handovers.note(now, *object.Shard)
+			c.handovers.shardChanged(now, *object.Shard)
 		}
 		switch {
 		case object.Server != nil:
-			known := c.ensureContact(object.Server.ID, now)
-			known.eager = true
-			if session := object.Server.Session; session.Open && session.Number != known.openedAs {
-				known.readyAt = now
+			tracker := c.ensureTracker(object.Server.ID, now)
+			tracker.renewAfterRound = true
+			if session := object.Server.Session; session.Open && session.Number != tracker.readySession {
+				tracker.readyAt = now
 			}
-			c.noteServer(known, *object.Server)
-			c.wake(known, now)
+			c.updateServer(tracker, *object.Server)
+			c.scheduleNow(tracker, now)
 		case object.Shard != nil && object.Shard.Owner != "":
-			c.wake(c.ensureContact(object.Shard.Owner, now), now)
+			c.scheduleNow(c.ensureTracker(object.Shard.Owner, now), now)
 		}
 	}
-	c.noteLayouts(now, objects)
+	c.updateLayouts(now, objects)
 }
 
-func (c *Coordinator) wake(known *contact, now time.Duration) {
-	known.next = min(known.next, now)
+func (c *Coordinator) scheduleNow(tracker *serverTracker, now time.Duration) {
+	tracker.nextMessageAt = min(tracker.nextMessageAt, now)
 }
 
-func (c *Coordinator) ensureContact(server state.ServerID, now time.Duration) *contact {
-	if known, found := c.contacts[server]; found {
-		return known
+func (c *Coordinator) ensureTracker(server state.ServerID, now time.Duration) *serverTracker {
+	if tracker, found := c.trackers[server]; found {
+		return tracker
 	}
-	created := &contact{server: server, next: now, eager: true, readingAt: -1, loadAt: -1, renewedAt: c.leadSince}
-	c.contacts[server] = created
-	position, _ := slices.BinarySearchFunc(c.ordered, server, compareContact)
-	c.ordered = slices.Insert(c.ordered, position, created)
+	created := &serverTracker{server: server, nextMessageAt: now, renewAfterRound: true, readingAt: -1, shardLoadsAt: -1, renewedAt: c.leadSince}
+	c.trackers[server] = created
+	position, _ := slices.BinarySearchFunc(c.orderedTrackers, server, compareTracker)
+	c.orderedTrackers = slices.Insert(c.orderedTrackers, position, created)
 	return created
 }
 
@@ -160,25 +174,25 @@
 	if !c.leading {
 		return actions
 	}
-	c.noticePause(now)
-	c.tickContacts(now, view, &actions)
-	c.openAnswering(&actions)
-	c.closeEnded(now, view, &actions)
-	c.followPolicies(now, view)
+	c.detectPause(now)
+	c.tickServers(now, view, &actions)
+	c.openSessions(&actions)
+	c.closeEndedSessions(now, view, &actions)
+	c.applyChangedPolicies(now, view)
 	c.tickShards(now, view, &actions)
-	c.balance(now, view, &actions)
+	c.tickBalance(now, view, &actions)
 	c.tickRound(now, &actions)
 	return actions
 }
 
-// noticePause gives servers time to answer after this process was paused:
-// their leases ran out, but nobody else was told so, and a renewal spares the
-// moves that closing their sessions would cause.
-func (c *Coordinator) noticePause(now time.Duration) {
-	if now-c.lastTick > c.config.RenewInterval {
+// detectPause gives servers time to answer after this process was paused. Their
+// leases may have expired, but no other process has been told so, and a renewal
+// avoids the moves that closing their sessions would cause.
+func (c *Coordinator) detectPause(now time.Duration) {
+	if now-c.lastTickAt > c.config.RenewInterval {
 		c.closeAfter = now + 2*c.config.RenewInterval
 	}
-	c.lastTick = now
+	c.lastTickAt = now
 }
 
 func (c *Coordinator) propose(actions *Actions, command state.Command) uint64 {
@@ -188,13 +202,13 @@
 }
 
 // proposeFor proposes a command that concerns one server.
-func (c *Coordinator) proposeFor(known *contact, actions *Actions, command state.Command) uint64 {
+func (c *Coordinator) proposeFor(tracker *serverTracker, actions *Actions, command state.Command) uint64 {
 	token := c.propose(actions, command)
-	c.awaiting[token] = []*contact{known}
+	c.proposalTrackers[token] = []*serverTracker{tracker}
 	return token
 }
 
-// ProposalDone says that a proposal was applied, refused or dropped.
+// ProposalDone reports that a proposal was applied, refused or dropped.
 func (c *Coordinator) ProposalDone(token uint64) {
 	if c.pendingAssign == token {
 		c.pendingAssign = 0
@@ -205,101 +219,103 @@
 	if c.pendingBalance == token {
 		c.pendingBalance = 0
 	}
-	for _, known := range c.awaiting[token] {
-		if known.pendingSession == token {
-			known.pendingSession = 0
+	for _, tracker := range c.proposalTrackers[token] {
+		if tracker.pendingSession == token {
+			tracker.pendingSession = 0
 		}
-		if known.pendingRelease == token {
-			known.pendingRelease = 0
+		if tracker.pendingRelease == token {
+			tracker.pendingRelease = 0
 		}
 	}
-	delete(c.awaiting, token)
+	delete(c.proposalTrackers, token)
 }
 
-// tickRound asks for a quorum round when some reading waits for one.
+// tickRound requests a quorum round if a clock reading is not yet covered by a
+// confirmed one. A round that stays unconfirmed is replaced after the lease
+// duration.
 func (c *Coordinator) tickRound(now time.Duration, actions *Actions) {
-	if now-c.roundStarted < c.config.RoundInterval {
+	if now-c.roundStartedAt < c.config.RoundInterval {
 		return
 	}
-	if c.roundOpen && now-c.roundStarted < c.config.LeaseDuration {
+	if c.roundPending && now-c.roundStartedAt < c.config.LeaseDuration {
 		return
 	}
-	if c.newestReading > c.confirmedAt {
+	if c.newestReadingAt > c.confirmedAt {
 		c.lastRound++
-		c.roundStarted = now
-		c.roundOpen = true
+		c.roundStartedAt = now
+		c.roundPending = true
 		actions.Round = c.lastRound
 	}
 }
 
-// RoundConfirmed says that a quorum acknowledged this leader in the round.
+// RoundConfirmed reports that a quorum acknowledged this leader in the round.
 func (c *Coordinator) RoundConfirmed(now time.Duration, round uint64) {
-	if !c.leading || round != c.lastRound || !c.roundOpen {
+	if !c.leading || round != c.lastRound || !c.roundPending {
 		return
 	}
-	c.roundOpen = false
-	c.confirmedAt = c.roundStarted
-	for _, known := range c.ordered {
-		if known.eager && known.readingAt >= 0 && known.readingAt <= c.confirmedAt {
-			known.eager = false
-			c.wake(known, now)
+	c.roundPending = false
+	c.confirmedAt = c.roundStartedAt
+	for _, tracker := range c.orderedTrackers {
+		if tracker.renewAfterRound && tracker.readingAt >= 0 && tracker.readingAt <= c.confirmedAt {
+			tracker.renewAfterRound = false
+			c.scheduleNow(tracker, now)
 		}
 	}
 }
 
-// Answered takes a server's answer to the message with the given sequence.
+// Answered handles a server's answer to the message with the given sequence.
 func (c *Coordinator) Answered(now time.Duration, server state.ServerID, sequence uint64, answer backendapi.LeaseAnswer) {
-	known, found := c.contacts[server]
-	if !found || sequence != known.sequence {
+	tracker, found := c.trackers[server]
+	if !found || sequence != tracker.sequence {
 		return
 	}
-	known.inFlight = false
+	tracker.messageInFlight = false
 	if answer.Server != string(server) {
 		return
 	}
-	changedProcess := answer.Incarnation != known.incarnation
-	known.learn(now, answer)
-	c.newestReading = now
-	c.handovers.confirmed(now, server, known.version)
-	c.noteLeaving(known)
-	c.balancer.count(now, known, answer.Load)
-	known.answered = true
-	known.eager = known.eager || changedProcess
-	if answer.Fence.Term == c.term && answer.Fence.Sequence > known.sequence {
-		known.sequence = answer.Fence.Sequence
+	newProcess := answer.Incarnation != tracker.incarnation
+	tracker.recordAnswer(now, answer)
+	c.newestReadingAt = now
+	c.handovers.versionConfirmed(now, server, tracker.assignmentVersion)
+	c.updateLeaving(tracker)
+	c.balancer.addReport(now, tracker, answer.Load)
+	tracker.newAnswer = true
+	tracker.renewAfterRound = tracker.renewAfterRound || newProcess
+	if answer.Fence.Term == c.term && answer.Fence.Sequence > tracker.sequence {
+		tracker.sequence = answer.Fence.Sequence
 	}
 }
 
-// Failed says that the message with the given sequence was not answered.
+// Failed reports that the message with the given sequence was not answered.
 func (c *Coordinator) Failed(server state.ServerID, sequence uint64) {
-	known, found := c.contacts[server]
-	if found && sequence == known.sequence {
-		known.inFlight = false
-		known.failures++
+	tracker, found := c.trackers[server]
+	if found && sequence == tracker.sequence {
+		tracker.messageInFlight = false
+		tracker.failures++
 	}
 }
 
-// Views returns what is known of each server, by server.
+// Views returns a view of each server, sorted by server.
 func (c *Coordinator) Views(view *state.State) []ServerView {
-	views := make([]ServerView, 0, len(c.ordered))
-	for _, known := range c.ordered {
-		views = append(views, known.view(view))
+	views := make([]ServerView, 0, len(c.orderedTrackers))
+	for _, tracker := range c.orderedTrackers {
+		views = append(views, tracker.serverView(view))
 	}
 	return views
 }
 
-func (c *contact) view(view *state.State) ServerView {
-	server, _ := view.Server(c.server)
+func (t *serverTracker) serverView(view *state.State) ServerView {
+	server, _ := view.Server(t.server)
 	service, _ := view.Service(server.Service)
-	seen := ServerView{Server: c.server, LastAnswer: c.readingAt, Load: c.load, Observed: c.observed}
+	result := ServerView{Server: t.server, LastAnswer: t.readingAt, Load: t.load, Observed: t.observed}
 	if service.Mode == state.ModeObserved {
-		if c.observed && service.Keyed {
-			seen.Differences = differences(view.OwnedBy(c.server), c.claims)
+		if t.observed && service.Keyed {
+			result.Differences = countDifferences(view.OwnedBy(t.server), t.claims)
 		}
-		seen.InForce = c.observed && seen.Differences == 0
-		return seen
+		result.InForce = t.observed && result.Differences == 0
+		return result
 	}
-	seen.InForce = server.Session.Open && c.session == server.Session.Number &&
-		c.version == view.AssignmentVersion(c.server)
-	return seen
+	result.InForce = server.Session.Open && t.answeredSession == server.Session.Number &&
+		t.assignmentVersion == view.AssignmentVersion(t.server)
+	return result
 }
--- a/internal/coordinator/handover.go
+++ b/internal/coordinator/handover.go
@@ -7,32 +7,33 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
-// handoverWeight is the weight of the newest move in the mean.
+// handoverWeight is the weight of the newest move in the moving average.
 const handoverWeight = 0.2
 
-// Handovers tells how long moved shards had no owner, by service, as this
-// leader measured it: from the revocation to the answer by which the new owner
-// confirmed the shard.
+// Handovers holds how long moved shards had no owner, by service, as measured by
+// this leader: from the revocation to the answer in which the new owner confirmed
+// the shard.
 type Handovers struct {
 	mean map[state.ServiceName]time.Duration
 }
 
-// Expected returns the smoothed mean of a service's moves, or false while none
+// Expected returns the moving average of a service's moves, or false while none
 // was measured.
 func (h Handovers) Expected(service state.ServiceName) (time.Duration, bool) {
 	mean, found := h.mean[service]
 	return mean, found
 }
 
-// handovers follows the moves in flight, which each service's MaxMoves bounds.
+// handovers tracks the moves in flight, whose number each service's MaxMoves
+// bounds.
 type handovers struct {
 	Handovers
-	revoked map[state.ShardID]time.Duration
-	granted map[state.ServerID][]grant
+	revokedAt   map[state.ShardID]time.Duration
+	unconfirmed map[state.ServerID][]unconfirmedMove
 }
 
-// grant is a moved shard whose new owner has yet to confirm it.
-type grant struct {
+// unconfirmedMove is a moved shard that its new owner has not confirmed.
+type unconfirmedMove struct {
 	service state.ServiceName
 	since   time.Duration
 	version state.Revision
@@ -40,55 +41,55 @@
 
 func newHandovers() *handovers {
 	return &handovers{
-		Handovers: Handovers{mean: make(map[state.ServiceName]time.Duration)},
-		revoked:   make(map[state.ShardID]time.Duration),
-		granted:   make(map[state.ServerID][]grant),
+		Handovers:   Handovers{mean: make(map[state.ServiceName]time.Duration)},
+		revokedAt:   make(map[state.ShardID]time.Duration),
+		unconfirmed: make(map[state.ServerID][]unconfirmedMove),
 	}
 }
 
-// note takes a new version of a shard.
-func (h *handovers) note(now time.Duration, shard state.Shard) {
-	since, moving := h.revoked[shard.ID]
+// shardChanged handles a new version of a shard.
+func (h *handovers) shardChanged(now time.Duration, shard state.Shard) {
+	since, moving := h.revokedAt[shard.ID]
 	switch {
 	case shard.Phase == state.ShardRevoking && !moving:
-		h.revoked[shard.ID] = now
+		h.revokedAt[shard.ID] = now
 	case shard.Phase == state.ShardOwned && moving:
-		delete(h.revoked, shard.ID)
-		h.granted[shard.Owner] = append(h.granted[shard.Owner], grant{service: shard.Service, since: since, version: shard.Revision})
+		delete(h.revokedAt, shard.ID)
+		h.unconfirmed[shard.Owner] = append(h.unconfirmed[shard.Owner], unconfirmedMove{service: shard.Service, since: since, version: shard.Revision})
 	}
 }
 
-// confirmed takes the assignment version that a server has in force.
-func (h *handovers) confirmed(now time.Duration, server state.ServerID, version state.Revision) {
-	waiting := h.granted[server]
-	if len(waiting) == 0 {
+// versionConfirmed handles the assignment version that a server has in force.
+func (h *handovers) versionConfirmed(now time.Duration, server state.ServerID, version state.Revision) {
+	moves := h.unconfirmed[server]
+	if len(moves) == 0 {
 		return
 	}
-	var remaining []grant
-	for _, granted := range waiting {
-		if version < granted.version {
-			remaining = append(remaining, granted)
+	var remaining []unconfirmedMove
+	for _, move := range moves {
+		if version < move.version {
+			remaining = append(remaining, move)
 			continue
 		}
-		h.measure(granted.service, now-granted.since)
+		h.addDuration(move.service, now-move.since)
 	}
 	if len(remaining) == 0 {
-		delete(h.granted, server)
+		delete(h.unconfirmed, server)
 		return
 	}
-	h.granted[server] = remaining
+	h.unconfirmed[server] = remaining
 }
 
-func (h *handovers) measure(service state.ServiceName, taken time.Duration) {
+func (h *handovers) addDuration(service state.ServiceName, duration time.Duration) {
 	mean, found := h.mean[service]
 	if !found {
-		h.mean[service] = taken
+		h.mean[service] = duration
 		return
 	}
-	h.mean[service] = mean + time.Duration(handoverWeight*float64(taken-mean))
+	h.mean[service] = mean + time.Duration(handoverWeight*float64(duration-mean))
 }
 
-// Handovers returns what was measured in this term of leadership.
+// Handovers returns the measurements of this term of leadership.
 func (c *Coordinator) Handovers() Handovers {
 	return Handovers{mean: maps.Clone(c.handovers.mean)}
 }
--- a/internal/coordinator/handover_test.go
+++ b/internal/coordinator/handover_test.go
@@ -8,31 +8,31 @@
 )
 
 func TestHandoversAreMeasuredFromRevocationToConfirmation(t *testing.T) {
-	b := newBench(t)
-	b.run(time.Second)
-	if taken, found := b.core.Handovers().Expected("s"); found {
-		t.Fatalf("%v was measured before any move", taken)
+	h := newHarness(t)
+	h.run(time.Second)
+	if taken, found := h.core.Handovers().Expected("s"); found {
+		t.Fatalf("a duration of %v is reported before any move", taken)
 	}
-	shard := b.view.OwnedBy("a")[0]
-	started := b.now
-	b.confirmPlan("move", state.Operation{MoveShard: &state.MoveShard{Shard: shard.ID, Epoch: shard.Epoch, From: "a", To: "b"}})
+	shard := h.view.OwnedBy("a")[0]
+	started := h.now
+	h.confirmPlan("move", state.Operation{MoveShard: &state.MoveShard{Shard: shard.ID, Epoch: shard.Epoch, From: "a", To: "b"}})
 	for {
-		b.run(10 * millisecond)
-		if _, found := b.core.Handovers().Expected("s"); found {
+		h.run(10 * millisecond)
+		if _, found := h.core.Handovers().Expected("s"); found {
 			break
 		}
-		if b.now-started > 5*time.Second {
-			t.Fatal("the move was not measured")
+		if h.now-started > 5*time.Second {
+			t.Fatal("the duration of the move was not measured")
 		}
 	}
-	taken, _ := b.core.Handovers().Expected("s")
-	if taken <= 0 || taken > b.now-started {
-		t.Errorf("%v was measured for a move that took at most %v", taken, b.now-started)
+	taken, _ := h.core.Handovers().Expected("s")
+	if taken <= 0 || taken > h.now-started {
+		t.Errorf("measured %v for a move that took at most %v", taken, h.now-started)
 	}
-	if moved, _ := b.view.Shard(shard.ID); moved.Owner != "b" {
-		t.Errorf("measured although %s owns the shard", moved.Owner)
+	if moved, _ := h.view.Shard(shard.ID); moved.Owner != "b" {
+		t.Errorf("the move was measured although %s owns the shard", moved.Owner)
 	}
-	if len(b.core.handovers.revoked)+len(b.core.handovers.granted) != 0 {
-		t.Error("the finished move is still followed")
+	if len(h.core.handovers.revokedAt)+len(h.core.handovers.unconfirmed) != 0 {
+		t.Error("the finished move is still tracked")
 	}
 }
--- a/internal/coordinator/leaving.go
+++ b/internal/coordinator/leaving.go
@@ -7,30 +7,30 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
-// noteServer takes over what the state says about a server.
-func (c *Coordinator) noteServer(known *contact, server state.Server) {
+// updateServer updates a tracker from the server's replicated object.
+func (c *Coordinator) updateServer(tracker *serverTracker, server state.Server) {
 	gone := server.Intent == state.ServerRetired && !server.Session.Open
-	known.service = server.Service
-	known.open = server.Session.Open
-	if known.open {
-		known.openedAs = server.Session.Number
+	tracker.service = server.Service
+	tracker.sessionOpen = server.Session.Open
+	if tracker.sessionOpen {
+		tracker.readySession = server.Session.Number
 	}
-	known.withdrawn = !gone && (server.Withdrawn() || server.Intent != state.ServerActive)
-	c.noteLeaving(known)
+	tracker.withdrawn = !gone && (server.Withdrawn() || server.Intent != state.ServerActive)
+	c.updateLeaving(tracker)
 }
 
-// noteLeaving keeps the list of servers that are to give up their shards, so
-// that a tick need not look at all of them.
-func (c *Coordinator) noteLeaving(known *contact) {
-	position, listed := slices.BinarySearchFunc(c.leaving, known.server, compareContact)
-	switch leaves := known.withdrawn || known.draining; {
-	case leaves && !listed:
-		c.leaving = slices.Insert(c.leaving, position, known)
-	case !leaves && listed:
+// updateLeaving updates the list of servers that are to give up their shards, so
+// that a tick need not check every server.
+func (c *Coordinator) updateLeaving(tracker *serverTracker) {
+	position, listed := slices.BinarySearchFunc(c.leaving, tracker.server, compareTracker)
+	switch leaving := tracker.withdrawn || tracker.draining; {
+	case leaving && !listed:
+		c.leaving = slices.Insert(c.leaving, position, tracker)
+	case !leaving && listed:
 		c.leaving = slices.Delete(c.leaving, position, position+1)
 	}
 }
 
-func compareContact(known *contact, server state.ServerID) int {
-	return cmp.Compare(known.server, server)
+func compareTracker(tracker *serverTracker, server state.ServerID) int {
+	return cmp.Compare(tracker.server, server)
 }
--- a/internal/coordinator/merge.go
+++ b/internal/coordinator/merge.go
@@ -7,24 +7,24 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
-// merge proposes merges of cold neighbours, if the service's policy allows them.
-// MaxMoves bounds those that their owners have yet to confirm: until then
-// requests for their keys are refused and sent again.
-func (c *Coordinator) merge(name state.ServiceName, known *balanced, chosen []placement.Merge, view *state.State, actions *Actions) {
+// proposeMerges proposes merges of adjacent shards with low load, if the service's
+// policy allows them. MaxMoves bounds the merges that the owners have not
+// confirmed, because until then requests for their keys are refused and retried.
+func (c *Coordinator) proposeMerges(name state.ServiceName, balanced *balancedService, chosen []placement.Merge, view *state.State, actions *Actions) {
 	service, _ := view.Service(name)
 	if !service.Placement.Merge {
 		return
 	}
-	known.merging = slices.DeleteFunc(known.merging, func(merged state.ShardEpoch) bool { return c.mergeSettled(merged, view) })
-	room := min(service.MaxMoves-len(known.merging), view.ShardCount(name)-service.Placement.MinShards)
-	merges := make([]state.ShardMerge, 0, max(min(room, len(chosen)), 0))
-	for _, option := range chosen {
-		if len(merges) >= room {
+	balanced.unconfirmedMerges = slices.DeleteFunc(balanced.unconfirmedMerges, func(merged state.ShardEpoch) bool { return c.mergeSettled(merged, view) })
+	allowed := min(service.MaxMoves-len(balanced.unconfirmedMerges), view.ShardCount(name)-service.Placement.MinShards)
+	merges := make([]state.ShardMerge, 0, max(min(allowed, len(chosen)), 0))
+	for _, candidate := range chosen {
+		if len(merges) >= allowed {
 			break
 		}
-		if merge, fits := c.mergeOf(option, view); fits {
+		if merge, valid := c.buildMerge(candidate, view); valid {
 			merges = append(merges, merge)
-			known.merging = append(known.merging, state.ShardEpoch{
+			balanced.unconfirmedMerges = append(balanced.unconfirmedMerges, state.ShardEpoch{
 				Shard: merge.First.Shard, Epoch: max(merge.First.Epoch, merge.Second.Epoch) + 1,
 			})
 		}
@@ -34,24 +34,25 @@
 	}
 }
 
-// mergeSettled reports whether the owner of a merged shard has its set in force,
-// or the shard has changed since or was never merged.
+// mergeSettled reports whether the owner of a merged shard has the set with the
+// shard in force, or the shard has changed since or was never merged.
 func (c *Coordinator) mergeSettled(merged state.ShardEpoch, view *state.State) bool {
 	shard, found := view.Shard(merged.Shard)
 	if !found || shard.Epoch != merged.Epoch {
 		return true
 	}
-	owner := c.contacts[shard.Owner]
-	return owner != nil && owner.version >= shard.Revision
+	owner := c.trackers[shard.Owner]
+	return owner != nil && owner.assignmentVersion >= shard.Revision
 }
 
-// mergeOf names two shards as they are now, if both are at rest with one owner
-// that takes shards.
-func (c *Coordinator) mergeOf(chosen placement.Merge, view *state.State) (state.ShardMerge, bool) {
+// buildMerge returns the merge with the shards' current epochs. It returns false
+// unless both shards are owned, with no move planned, by one server that accepts
+// shards.
+func (c *Coordinator) buildMerge(chosen placement.Merge, view *state.State) (state.ShardMerge, bool) {
 	first, _ := view.Shard(chosen.First)
 	second, _ := view.Shard(chosen.Second)
 	owner, found := view.Server(first.Owner)
-	if !found || second.Owner != first.Owner || !takesShards(owner, c.contacts[owner.ID]) {
+	if !found || second.Owner != first.Owner || !acceptsShards(owner, c.trackers[owner.ID]) {
 		return state.ShardMerge{}, false
 	}
 	for _, shard := range []state.Shard{first, second} {
--- a/internal/coordinator/merge_test.go
+++ b/internal/coordinator/merge_test.go
@@ -7,20 +7,21 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
-// firstQuarter makes the first quarter of the key space a hundred times as busy
-// as the rest.
-func firstQuarter(keys state.KeyRange) float64 {
+// busyFirstQuarter gives the first quarter of the key space a hundred times the
+// load of the rest.
+func busyFirstQuarter(keys state.KeyRange) float64 {
 	if keys.First < 1<<62 {
 		return 100 * keys.Width()
 	}
 	return keys.Width()
 }
 
-// Cold neighbours are merged as the policy allows: down to the least number, no
-// more at once than may move, and not before their loads are known for long.
+// Adjacent shards with low load are merged as the policy allows: down to the minimum
+// number, at most MaxMoves at a time, and only once their loads have been known for
+// some time.
 func TestMergesFollowThePolicy(t *testing.T) {
 	const least, bound = 7, 2
-	l := &loaded{fleet: newFleet(1, 16), weight: firstQuarter, rest: make(map[state.ShardID]float64)}
+	l := &loadedFleet{fleet: newFleet(1, 16), weight: busyFirstQuarter, unreported: make(map[state.ShardID]float64)}
 	l.fleet.report = l.report
 	policy := func(merge bool) {
 		service, _ := l.view.Service("s")
@@ -42,19 +43,19 @@
 	}
 	policy(false)
 	if count := run(6 * time.Minute); count != 16 {
-		t.Fatalf("%d shards are left without a policy of merges", count)
+		t.Fatalf("%d shards are left although the policy allows no merges, want 16", count)
 	}
 	l.core.Lead(l.now, 2, l.view)
 	policy(true)
 	if count := run(4 * time.Minute); count != 16 {
-		t.Fatalf("a new leader, which knows no loads, left %d shards", count)
+		t.Fatalf("%d shards are left under a new leader, which knows no loads yet, want 16", count)
 	}
 	if count := run(4 * time.Minute); count != least {
 		t.Errorf("%d shards are left, want %d", count, least)
 	}
 	settled := l.view.Revision()
 	if run(20 * time.Minute); l.view.Revision() != settled {
-		t.Error("shards went on to change with a steady load")
+		t.Error("shards changed again although the load was constant")
 	}
 	busy, _ := l.view.ShardAt("s", 0)
 	if busy.Epoch != 1 || busy.Range.Last != 1<<60-1 {
--- a/internal/coordinator/openings.go
+++ b/internal/coordinator/openings.go
@@ -2,30 +2,31 @@
 
 import "github.com/thorntiller/thorntiller/internal/state"
 
-// maxOpenings bounds the sessions of one entry.
+// maxOpenings bounds the sessions that one log entry opens.
 const maxOpenings = 1024
 
-// openAnswering proposes sessions for the servers that this tick found to answer
-// without one. Those of a new service, or of a zone that is back, go into few
-// entries, so that followers and routers take one change for many of them.
-func (c *Coordinator) openAnswering(actions *Actions) {
-	opening, openers := c.opening, c.openers
-	c.opening, c.openers = nil, nil
-	for len(opening) > 0 {
-		count := min(len(opening), maxOpenings)
-		c.proposeOpenings(opening[:count], openers[:count], actions)
-		opening, openers = opening[count:], openers[count:]
+// openSessions proposes sessions for the servers that this tick found answering
+// without one. The sessions of a new service or of a recovered zone are batched in
+// a few log entries, so that followers and routers apply one change for many of
+// them.
+func (c *Coordinator) openSessions(actions *Actions) {
+	sessions, trackers := c.sessionsToOpen, c.openingTrackers
+	c.sessionsToOpen, c.openingTrackers = nil, nil
+	for len(sessions) > 0 {
+		count := min(len(sessions), maxOpenings)
+		c.proposeOpenings(sessions[:count], trackers[:count], actions)
+		sessions, trackers = sessions[count:], trackers[count:]
 	}
 }
 
-func (c *Coordinator) proposeOpenings(opening []state.OpenSession, openers []*contact, actions *Actions) {
-	command := state.Command{OpenSessions: &state.OpenSessions{Sessions: opening}}
-	if len(opening) == 1 {
-		command = state.Command{OpenSession: &opening[0]}
+func (c *Coordinator) proposeOpenings(sessions []state.OpenSession, trackers []*serverTracker, actions *Actions) {
+	command := state.Command{OpenSessions: &state.OpenSessions{Sessions: sessions}}
+	if len(sessions) == 1 {
+		command = state.Command{OpenSession: &sessions[0]}
 	}
 	token := c.propose(actions, command)
-	c.awaiting[token] = openers
-	for _, known := range openers {
-		known.pendingSession = token
+	c.proposalTrackers[token] = trackers
+	for _, tracker := range trackers {
+		tracker.pendingSession = token
 	}
 }
--- a/internal/coordinator/openings_test.go
+++ b/internal/coordinator/openings_test.go
@@ -6,20 +6,20 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
-// TestSessionsOpenTogether: servers that come back in the same tick get their
-// sessions by one entry.
+// TestSessionsOpenTogether: the sessions of servers that return together are opened
+// in a few log entries.
 func TestSessionsOpenTogether(t *testing.T) {
 	const servers, lost = 140, 40
 	f := newFleet(servers, 1400)
 	for number := range lost {
-		f.lost[fleetServer(number)] = true
+		f.lost[fleetServerID(number)] = true
 	}
 	for range 200 {
 		f.tick()
 	}
 	clear(f.lost)
 	entries, opened := 0, 0
-	f.proposed = func(command state.Command) {
+	f.onProposal = func(command state.Command) {
 		if command.OpenSession != nil {
 			entries, opened = entries+1, opened+1
 		}
@@ -31,6 +31,6 @@
 		f.tick()
 	}
 	if opened != lost || entries > lost/4 {
-		t.Errorf("%d sessions opened in %d entries, want %d in at most %d", opened, entries, lost, lost/4)
+		t.Errorf("%d sessions were opened in %d log entries, want %d in at most %d", opened, entries, lost, lost/4)
 	}
 }
--- a/internal/coordinator/shards.go
+++ b/internal/coordinator/shards.go
@@ -8,8 +8,8 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
-// tickShards carries each shard that needs work one step on: a move begins, a
-// revoked shard is released, an unowned shard is assigned.
+// tickShards proposes the next step for shards that need one: revoked shards are
+// released, unowned shards assigned and moves begun.
 func (c *Coordinator) tickShards(now time.Duration, view *state.State, actions *Actions) {
 	c.releaseShards(view, actions)
 	planner := c.newPlanner(now, view)
@@ -22,30 +22,30 @@
 	c.finishRetirements(view, actions)
 }
 
-// releaseShards proposes the release of revoked shards which their owner no
-// longer holds and of which it executes nothing.
+// releaseShards proposes the release of revoked shards that their owner no longer
+// holds and for which it executes no requests.
 func (c *Coordinator) releaseShards(view *state.State, actions *Actions) {
 	released := make(map[state.ServerID][]state.ShardEpoch)
 	for _, shard := range view.RevokingShards() {
-		known := c.contacts[shard.Owner]
-		if known == nil || known.pendingRelease != 0 {
+		tracker := c.trackers[shard.Owner]
+		if tracker == nil || tracker.pendingRelease != 0 {
 			continue
 		}
 		server, _ := view.Server(shard.Owner)
-		if !c.answersFor(known, server) || known.version < shard.Revision || known.runs(shard.Range) {
+		if !c.answeredInSession(tracker, server) || tracker.assignmentVersion < shard.Revision || tracker.executesIn(shard.Range) {
 			continue
 		}
 		released[shard.Owner] = append(released[shard.Owner], state.ShardEpoch{Shard: shard.ID, Epoch: shard.Epoch})
 	}
 	for _, server := range slices.Sorted(maps.Keys(released)) {
-		known, shards := c.contacts[server], released[server]
+		tracker, shards := c.trackers[server], released[server]
 		shards = shards[:min(len(shards), c.config.MaxBatch)]
-		known.pendingRelease = c.proposeFor(known, actions, state.Command{ReleaseShards: &state.ReleaseShards{Server: server, Shards: shards}})
+		tracker.pendingRelease = c.proposeFor(tracker, actions, state.Command{ReleaseShards: &state.ReleaseShards{Server: server, Shards: shards}})
 	}
 }
 
-// revokeShards begins moves within each service's bound: first those that a
-// plan asked for, then those off servers that are leaving.
+// revokeShards begins moves within each service's MaxMoves: first those of shards
+// whose target is chosen already, then those off servers that are leaving.
 func (c *Coordinator) revokeShards(planner *planner, view *state.State, actions *Actions) {
 	targeted := view.TargetedShards()
 	if len(targeted) == 0 && len(c.leaving) == 0 {
@@ -56,12 +56,12 @@
 	for _, shard := range targeted {
 		moves = appendMove(moves, shard, planner, budget)
 	}
-	for _, known := range c.leaving {
-		server, found := view.Server(known.server)
-		if !found || !server.Session.Open || !leaves(server, known) {
+	for _, tracker := range c.leaving {
+		server, found := view.Server(tracker.server)
+		if !found || !server.Session.Open || !isLeaving(server, tracker) {
 			continue
 		}
-		for _, shard := range view.OwnedBy(known.server) {
+		for _, shard := range view.OwnedBy(tracker.server) {
 			if shard.Phase == state.ShardOwned && shard.Target == "" {
 				moves = appendMove(moves, shard, planner, budget)
 			}
@@ -85,25 +85,25 @@
 	return append(moves, state.MoveShard{Shard: shard.ID, Epoch: shard.Epoch, From: shard.Owner, To: target.ID})
 }
 
-// leaves reports whether a server is to give up its shards.
-func leaves(server state.Server, known *contact) bool {
-	return server.Withdrawn() || server.Intent != state.ServerActive || known.draining
+// isLeaving reports whether a server is to give up its shards.
+func isLeaving(server state.Server, tracker *serverTracker) bool {
+	return server.Withdrawn() || server.Intent != state.ServerActive || tracker.draining
 }
 
 func (c *Coordinator) finishRetirements(view *state.State, actions *Actions) {
-	for _, known := range c.leaving {
-		server, found := view.Server(known.server)
-		if !found || server.Intent != state.ServerRetiring || known.pendingRelease != 0 {
+	for _, tracker := range c.leaving {
+		server, found := view.Server(tracker.server)
+		if !found || server.Intent != state.ServerRetiring || tracker.pendingRelease != 0 {
 			continue
 		}
 		if view.OwnedCount(server.ID) > 0 {
 			continue
 		}
-		known.pendingRelease = c.proposeFor(known, actions, state.Command{RetireServerDone: &state.RetireServerDone{Server: server.ID}})
+		tracker.pendingRelease = c.proposeFor(tracker, actions, state.Command{RetireServerDone: &state.RetireServerDone{Server: server.ID}})
 	}
 }
 
-// moveBudget bounds the moves in flight of each service.
+// moveBudget holds how many more moves of each service may begin now.
 type moveBudget struct {
 	left map[state.ServiceName]int
 }
--- a/internal/coordinator/types.go
+++ b/internal/coordinator/types.go
@@ -7,24 +7,26 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
-// Config sets the times of leases. Times are on this controller's clock.
+// Config sets the timing of leases and the size of batches. Durations are measured
+// on this controller's clock unless stated otherwise.
 type Config struct {
-	// LeaseDuration counts on the server's clock from its own reading.
+	// LeaseDuration is measured on the server's clock, from its clock reading.
 	LeaseDuration time.Duration
 	// RenewInterval is the time between messages to one server.
 	RenewInterval time.Duration
 	// ClockRateBound bounds by how much a server's clock may run slower than
 	// this controller's, as a share.
 	ClockRateBound float64
-	// Margin is added when a lease is waited out.
+	// Margin is added to the lease duration when a lease is waited out.
 	Margin time.Duration
-	// RoundInterval is the least time between two quorum rounds.
+	// RoundInterval is the minimum time between the starts of two quorum rounds.
 	RoundInterval time.Duration
 	// MaxBatch bounds the shards in one proposal.
 	MaxBatch int
 }
 
-// DefaultRoundInterval and DefaultMaxBatch suit every deployment so far.
+// DefaultRoundInterval and DefaultMaxBatch are values of Config that suit every
+// known deployment.
 const (
 	DefaultRoundInterval = 20 * time.Millisecond
 	DefaultMaxBatch      = 8192
@@ -37,33 +39,33 @@
 	Request backendapi.LeaseRequest
 }
 
-// Proposal is a command for the replicated log. The driver reports its end
-// with ProposalDone, whether it was applied, refused or dropped.
+// Proposal is a command for the replicated log. The driver calls ProposalDone once
+// it was applied, refused or dropped.
 type Proposal struct {
 	Token   uint64
 	Command state.Command
 }
 
-// Actions is what the driver is to do.
+// Actions are what the driver must do after a tick.
 type Actions struct {
 	Sends     []Send
 	Proposals []Proposal
-	// Round, when not zero, asks for a quorum round that begins after this
-	// call; the driver reports it with RoundConfirmed.
+	// Round, if not zero, requests a quorum round that begins after this call;
+	// the driver calls RoundConfirmed once it is confirmed.
 	Round uint64
 }
 
-// ServerView is what the coordinator knows of one server, for the status page.
+// ServerView is the coordinator's view of one server, for status displays.
 type ServerView struct {
 	Server state.ServerID
-	// LastAnswer is when the server last answered.
+	// LastAnswer is when the server last answered, -1 if it has not.
 	LastAnswer time.Duration
-	// InForce is true if the server holds exactly its assignments.
+	// InForce is true if the server has exactly its assignments in force.
 	InForce bool
 	Load    backendapi.LoadReport
-	// Observed is true while the server serves by its own authority;
-	// Differences then counts the key ranges in which its claims and the
-	// imported map differ.
+	// Observed is true while the server serves its own claims, without a lease;
+	// Differences then counts the key ranges in which its claims differ from the
+	// imported ownership map.
 	Observed    bool
 	Differences int
 }
