--- a/internal/membership/change.go
+++ b/internal/membership/change.go
@@ -4,47 +4,48 @@
 	"github.com/thorntiller/thorntiller/internal/consensus"
 )
 
-// NextChange returns the next step that brings a replica into the group. It
-// returns false while there is nothing to do or something to wait for.
+// NextChange returns the next membership change needed for a replica to join the
+// group as a voter. It returns false while there is none, or the next one has to
+// wait.
 func NextChange(status consensus.Status, joining consensus.Member) (consensus.MembershipChange, bool) {
 	current, found := ByID(status.Membership, joining.ID)
 	if !found {
 		joining.Learner = true
 		return consensus.MembershipChange{Kind: consensus.AddLearner, Member: joining}, true
 	}
-	if !current.Learner || !caughtUp(status, joining.ID) {
+	if !current.Learner || !hasCaughtUp(status, joining.ID) {
 		return consensus.MembershipChange{}, false
 	}
-	replaced, found := memberByName(status.Membership, joining)
+	replaced, found := otherMemberByName(status.Membership, joining)
 	if !found {
-		return changeBesideOthers(status, current)
+		return changeWithoutReplacement(status, current)
 	}
 	if isActive(status, replaced.ID) {
-		// Two processes run under one name: an operator must stop one.
+		// Two processes use the same name: an operator must stop one of them.
 		return consensus.MembershipChange{}, false
 	}
 	return consensus.MembershipChange{Kind: consensus.RemoveMember, Member: replaced}, true
 }
 
-// MaxVoters is the number of voters up to which learners are promoted without
-// another voter being removed. More voters would cost each commit more copies.
+// MaxVoters is the number of voters up to which learners are promoted without the
+// removal of another voter. With more voters, each commit would need more copies.
 const MaxVoters = 5
 
-// changeBesideOthers returns the change for a learner that has caught up and bears
-// the name of no other member. A voter that is silent is removed first: it may be
-// gone for good, and would count towards the quorum for ever. If it returns, it
+// changeWithoutReplacement returns the change for a learner that has caught up and
+// whose name no other member has. A voter that is silent is removed first: it may
+// be lost permanently and would still raise the size of a quorum. If it returns, it
 // joins again as a learner.
-func changeBesideOthers(status consensus.Status, learner consensus.Member) (consensus.MembershipChange, bool) {
-	if silent, found := silentVoter(status); found {
+func changeWithoutReplacement(status consensus.Status, learner consensus.Member) (consensus.MembershipChange, bool) {
+	if silent, found := findSilentVoter(status); found {
 		return consensus.MembershipChange{Kind: consensus.RemoveMember, Member: silent}, true
 	}
-	if voters(status.Membership) >= MaxVoters {
+	if countVoters(status.Membership) >= MaxVoters {
 		return consensus.MembershipChange{}, false
 	}
 	return consensus.MembershipChange{Kind: consensus.PromoteLearner, Member: learner}, true
 }
 
-func silentVoter(status consensus.Status) (consensus.Member, bool) {
+func findSilentVoter(status consensus.Status) (consensus.Member, bool) {
 	for _, progress := range status.Progress {
 		if member, found := ByID(status.Membership, progress.ID); found && progress.Silent && !member.Learner {
 			return member, true
@@ -53,7 +54,7 @@
 	return consensus.Member{}, false
 }
 
-func voters(members consensus.Membership) int {
+func countVoters(members consensus.Membership) int {
 	count := 0
 	for _, member := range members.Members {
 		if !member.Learner {
@@ -63,7 +64,7 @@
 	return count
 }
 
-func caughtUp(status consensus.Status, id consensus.ReplicaID) bool {
+func hasCaughtUp(status consensus.Status, id consensus.ReplicaID) bool {
 	for _, progress := range status.Progress {
 		if progress.ID == id {
 			return progress.RecentActive && progress.Match >= status.Commit
@@ -87,8 +88,8 @@
 	return found && !member.Learner
 }
 
-// memberByName returns the other member that bears the joining replica's name.
-func memberByName(members consensus.Membership, joining consensus.Member) (consensus.Member, bool) {
+// otherMemberByName returns the other member with the joining replica's name.
+func otherMemberByName(members consensus.Membership, joining consensus.Member) (consensus.Member, bool) {
 	for _, member := range members.Members {
 		if member.Name == joining.Name && member.ID != joining.ID {
 			return member, true
@@ -97,7 +98,7 @@
 	return consensus.Member{}, false
 }
 
-// ByID returns the member that bears an identifier.
+// ByID returns the member with the identifier.
 func ByID(members consensus.Membership, id consensus.ReplicaID) (consensus.Member, bool) {
 	for _, member := range members.Members {
 		if member.ID == id {
--- a/internal/membership/change_test.go
+++ b/internal/membership/change_test.go
@@ -6,7 +6,8 @@
 	"github.com/thorntiller/thorntiller/internal/consensus"
 )
 
-// TestNextChange walks through the replacement of a machine whose disk was lost.
+// TestNextChange covers the steps by which a replica whose disk was lost joins under
+// a new identifier and replaces its old member.
 func TestNextChange(t *testing.T) {
 	joining := consensus.Member{ID: 9, Name: "c"}
 	founders := []consensus.Member{{ID: 1, Name: "a"}, {ID: 2, Name: "b"}, {ID: 3, Name: "c"}}
@@ -32,7 +33,7 @@
 		status := consensus.Status{Commit: 40, Membership: consensus.Membership{Members: step.members}, Progress: step.progress}
 		change, wanted := NextChange(status, joining)
 		if wanted != (step.want != 0) || change.Kind != step.want || change.Member.ID != step.of {
-			t.Errorf("%s: change %+v, wanted %v", name, change, wanted)
+			t.Errorf("%s: NextChange returned %+v, %v", name, change, wanted)
 		}
 	}
 }
--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -1,4 +1,4 @@
-// Package membership decides the next change of a group of replicas when a
-// replica without a vote asks to join. It is pure: the controller process and
-// the simulator drive the same decision.
+// Package membership decides the next membership change of a consensus group when
+// a replica without a vote asks to join. It has no state and performs no I/O, so
+// that the controller process and the simulator run the same decisions.
 package membership
