--- a/internal/fleet/doc.go
+++ b/internal/fleet/doc.go
@@ -1,5 +1,5 @@
-// Package fleet holds what a router knows of each back end beyond the routing
-// table: its queue, its reported load, its health and the age of its session,
-// all of which follow the table. It opens no connections itself; those are a
-// Link, which the router's process and the simulator make each in their way.
+// Package fleet holds a router's state for each back end beyond the routing table:
+// its queue, reported load, health and the age of its session, all kept in step
+// with the table. It opens no connections itself: they are behind the Link
+// interface, which the router's process and the simulator implement.
 package fleet
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -17,20 +17,20 @@
 // Link is a router's connections to one back end. Its methods are called under
 // the fleet's lock and must not block.
 type Link interface {
-	// Update takes a new version of the server's object and the bound on
-	// connections that goes with it.
+	// Update handles a new version of the server's object, with the bound on
+	// connections that follows from it.
 	Update(server *state.Server, connections int)
-	// Limit changes the bound on connections; open ones stay.
+	// Limit changes the bound on connections. Open connections are kept.
 	Limit(connections int)
 	// Close closes the connections that are not in use.
 	Close()
 }
 
-// Options are what a Fleet needs.
+// Options configures a Fleet.
 type Options struct {
 	Clock  clock.Clock
 	Health health.Settings
-	// MaxConnections bounds one router's connections to a back end.
+	// MaxConnections bounds this router's connections to each back end.
 	MaxConnections int
 	// Table returns the routing table in force.
 	Table func() *table.Table
@@ -38,121 +38,126 @@
 	Open func(server *state.Server, connections int) Link
 }
 
-// BackEnd is what the router holds for one server.
+// BackEnd is the router's state for one server.
 type BackEnd struct {
 	// Queue admits the router's requests to the server.
 	Queue *admission.Queue
 	// Link is the router's connections to the server.
 	Link Link
 
-	// server is the newest version that the router has seen.
+	// server is the newest version of the server's object that the router has seen.
 	server atomic.Pointer[state.Server]
-	// since is the clock reading, in nanoseconds, at which the present session
-	// was first seen.
-	since atomic.Int64
+	// sessionSince is the clock reading, in nanoseconds, at which the present
+	// session was first seen.
+	sessionSince atomic.Int64
 	// answeredAt is the clock reading, in nanoseconds, of the last answer that is
-	// no refusal.
+	// not a refusal.
 	answeredAt atomic.Int64
-	// reported is the server's own load in thousandths of its slots.
-	reported atomic.Int64
+	// reportedLoad is the load that the server last reported, in thousandths of its
+	// slots.
+	reportedLoad atomic.Int64
 }
 
 // Server returns the newest version of the server's object.
 func (b *BackEnd) Server() *state.Server { return b.server.Load() }
 
-// ReportLoad keeps a server's own report of running and queued requests.
+// ReportLoad stores the numbers of running and queued requests that the server
+// reported, as load relative to its slots.
 func (b *BackEnd) ReportLoad(running, queued, slots int) {
 	const thousand = 1000
-	b.reported.Store(int64(running+queued) * thousand / int64(max(1, slots)))
+	b.reportedLoad.Store(int64(running+queued) * thousand / int64(max(1, slots)))
 }
 
-// Fleet holds the back ends that the router has dealt with. It is as large as
-// the routing table at most, and safe for concurrent use.
+// Fleet holds the back ends that the router has used, at most those in the routing
+// table. It is safe for concurrent use.
 type Fleet struct {
 	options Options
 	health  *health.Tracker
 
-	mutex   sync.RWMutex
-	servers map[state.ServerID]*BackEnd
-	routers int
+	mutex    sync.RWMutex
+	backEnds map[state.ServerID]*BackEnd
+	routers  int
 }
 
 // New returns an empty fleet.
 func New(options Options) *Fleet {
 	return &Fleet{
 		options: options, health: health.NewTracker(options.Health),
-		servers: make(map[state.ServerID]*BackEnd), routers: 1,
+		backEnds: make(map[state.ServerID]*BackEnd), routers: 1,
 	}
 }
 
-// Health returns the tracker of the fleet's servers.
+// Health returns the health tracker of the fleet's servers.
 func (f *Fleet) Health() *health.Tracker { return f.health }
 
-// Get returns the back end of a server, made at first use.
+// Get returns the back end of a server, created at first use and updated if server
+// is newer than its object.
 func (f *Fleet) Get(server *state.Server) *BackEnd {
-	found, ok := f.find(server.ID)
-	if ok && found.Server().Revision >= server.Revision {
-		return found
+	backEnd, found := f.lookup(server.ID)
+	if found && backEnd.Server().Revision >= server.Revision {
+		return backEnd
 	}
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return f.updateLocked(server)
 }
 
-func (f *Fleet) find(id state.ServerID) (*BackEnd, bool) {
+func (f *Fleet) lookup(id state.ServerID) (*BackEnd, bool) {
 	f.mutex.RLock()
 	defer f.mutex.RUnlock()
-	found, ok := f.servers[id]
-	return found, ok
+	backEnd, found := f.backEnds[id]
+	return backEnd, found
 }
 
 func (f *Fleet) updateLocked(server *state.Server) *BackEnd {
-	found, ok := f.servers[server.ID]
-	if !ok {
+	backEnd, found := f.backEnds[server.ID]
+	if !found {
 		return f.createLocked(server)
 	}
-	earlier := found.Server()
-	if earlier.Revision >= server.Revision {
-		return found
+	previous := backEnd.Server()
+	if previous.Revision >= server.Revision {
+		return backEnd
 	}
-	found.server.Store(server)
-	found.Link.Update(server, f.connections(server))
-	if earlier.Session.Number != server.Session.Number {
-		found.since.Store(int64(f.options.Clock.Now()))
+	backEnd.server.Store(server)
+	backEnd.Link.Update(server, f.connections(server))
+	if previous.Session.Number != server.Session.Number {
+		backEnd.sessionSince.Store(int64(f.options.Clock.Now()))
 	}
-	if earlier.Session != server.Session {
-		found.Queue.Evict(execution.ErrSessionEnded)
+	if previous.Session != server.Session {
+		backEnd.Queue.Evict(execution.ErrSessionEnded)
 	}
-	f.limitLocked(found)
-	return found
+	f.limitLocked(backEnd)
+	return backEnd
 }
 
 func (f *Fleet) createLocked(server *state.Server) *BackEnd {
-	created := &BackEnd{
+	backEnd := &BackEnd{
 		Queue: admission.NewQueue(f.options.Clock, admission.Limits{}),
 		Link:  f.options.Open(server, f.connections(server)),
 	}
-	created.server.Store(server)
-	created.since.Store(int64(f.options.Clock.Now()))
-	f.servers[server.ID] = created
-	f.limitLocked(created)
-	return created
+	backEnd.server.Store(server)
+	backEnd.sessionSince.Store(int64(f.options.Clock.Now()))
+	f.backEnds[server.ID] = backEnd
+	f.limitLocked(backEnd)
+	return backEnd
 }
 
-// connections returns how many connections the router may hold to the server.
+// connections returns the maximum number of connections to the server: this
+// router's share of those that the server accepts, and at most MaxConnections.
 func (f *Fleet) connections(server *state.Server) int {
 	share := admission.ConnectionShare(server.Connections, f.routers)
 	return min(share, f.options.MaxConnections)
 }
 
-func (f *Fleet) limitLocked(target *BackEnd) {
-	server := target.Server()
+func (f *Fleet) limitLocked(backEnd *BackEnd) {
+	server := backEnd.Server()
 	connections := f.connections(server)
-	target.Queue.SetLimits(admission.ServerLimits(server.Slots, connections, f.queueLimit(server.Service)))
-	target.Link.Limit(connections)
+	backEnd.Queue.SetLimits(admission.ServerLimits(server.Slots, connections, f.queueLimit(server.Service)))
+	backEnd.Link.Limit(connections)
 }
 
-// queueLimit returns how many requests may wait for each server of a service.
+// queueLimit returns the maximum number of requests that may wait for each server
+// of a service.
 func (f *Fleet) queueLimit(name state.ServiceName) int {
 	service, found := f.options.Table().Service(name)
 	if !found {
@@ -161,23 +166,23 @@
 	return service.QueueLimit
 }
 
-// Refresh follows a new version of the table: it updates known back ends and
-// forgets those that are gone.
+// Refresh applies a new version of the table: it updates the back ends and removes
+// those that the table no longer contains.
 func (f *Fleet) Refresh(view *table.Table) {
 	routers := max(1, view.OpenRouters())
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.routers = routers
-	for id, known := range f.servers {
+	for id, backEnd := range f.backEnds {
 		server, found := view.Server(id)
 		if !found {
-			known.Queue.Evict(execution.ErrSessionEnded)
-			known.Link.Close()
-			delete(f.servers, id)
+			backEnd.Queue.Evict(execution.ErrSessionEnded)
+			backEnd.Link.Close()
+			delete(f.backEnds, id)
 			continue
 		}
 		f.updateLocked(server)
-		f.limitLocked(known)
+		f.limitLocked(backEnd)
 	}
 	f.health.Forget(func(id state.ServerID) bool {
 		_, found := view.Server(id)
@@ -185,40 +190,40 @@
 	})
 }
 
-// Known returns the known back ends, in no fixed order.
+// Known returns the back ends in no fixed order.
 func (f *Fleet) Known() []*BackEnd {
 	f.mutex.RLock()
 	defer f.mutex.RUnlock()
-	known := make([]*BackEnd, 0, len(f.servers))
-	for _, item := range f.servers {
-		known = append(known, item)
+	backEnds := make([]*BackEnd, 0, len(f.backEnds))
+	for _, backEnd := range f.backEnds {
+		backEnds = append(backEnds, backEnd)
 	}
-	return known
+	return backEnds
 }
 
 // Load implements dispatch.Fleet.
 func (f *Fleet) Load(server *state.Server) dispatch.Load {
-	known := f.Get(server)
+	backEnd := f.Get(server)
 	const thousandth = 0.001
 	return dispatch.Load{
-		InFlight: known.Queue.Running() + known.Queue.Waiting(),
-		Limit:    known.Queue.Limit(),
-		Reported: float64(known.reported.Load()) * thousandth,
-		Age:      f.options.Clock.Now() - time.Duration(known.since.Load()),
+		InFlight: backEnd.Queue.Running() + backEnd.Queue.Waiting(),
+		Limit:    backEnd.Queue.Limit(),
+		Reported: float64(backEnd.reportedLoad.Load()) * thousandth,
+		Age:      f.options.Clock.Now() - time.Duration(backEnd.sessionSince.Load()),
 	}
 }
 
 // Answered implements execution.Fleet.
 func (f *Fleet) Answered(server *state.Server, now time.Duration) {
-	if known, found := f.find(server.ID); found {
-		known.answeredAt.Store(int64(now))
+	if backEnd, found := f.lookup(server.ID); found {
+		backEnd.answeredAt.Store(int64(now))
 	}
 }
 
 // AnsweredSince implements execution.Fleet.
 func (f *Fleet) AnsweredSince(server *state.Server, reading time.Duration) bool {
-	known, found := f.find(server.ID)
-	return found && time.Duration(known.answeredAt.Load()) > reading
+	backEnd, found := f.lookup(server.ID)
+	return found && time.Duration(backEnd.answeredAt.Load()) > reading
 }
 
 // Choose implements dispatch.Fleet.
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -9,15 +9,16 @@
 )
 
 // TestAnswerOfAForgottenServerMakesNoBackEnd: an attempt may end after its server
-// left the table and was dropped.
+// was removed from the table and from the fleet. Its answer must not create a back
+// end again.
 func TestAnswerOfAForgottenServerMakesNoBackEnd(t *testing.T) {
-	servers := New(Options{Health: health.DefaultSettings()})
+	routerFleet := New(Options{Health: health.DefaultSettings()})
 	gone := &state.Server{ID: "gone"}
-	servers.Answered(gone, time.Second)
-	if servers.AnsweredSince(gone, 0) {
-		t.Error("an unknown server answered")
+	routerFleet.Answered(gone, time.Second)
+	if routerFleet.AnsweredSince(gone, 0) {
+		t.Error("AnsweredSince reports an answer of an unknown server")
 	}
-	if known := len(servers.servers); known != 0 {
-		t.Errorf("%d back ends are held, want none", known)
+	if count := len(routerFleet.backEnds); count != 0 {
+		t.Errorf("the fleet holds %d back ends, want none", count)
 	}
 }
