--- a/internal/heartbeat/batch.go
+++ b/internal/heartbeat/batch.go
@@ -8,32 +8,31 @@
 	"github.com/thorntiller/thorntiller/internal/directory"
 )
 
-// Batch collects decisions that are put in force together: they rest on one reading
-// of the directory and on one draft of each service's layout, so that their cost does
-// not grow with the number of heartbeats. It is used once, at one time.
+// Batch collects decisions that are applied together. They are based on one state of the directory
+// and share one draft per service layout, so the cost of drafts does not grow with the number of
+// heartbeats. A batch is for a single use at a single point in time.
 type Batch struct {
 	core *Core
 	now  time.Duration
 	view *directory.Directory
-	// drafts are the next layouts, by service, in the order of their first use.
+	// drafts are the next layouts by service; order lists them by first use.
 	drafts    map[string]*draft
 	order     []*draft
 	instances []directory.Instance
 	times     []directory.InstanceTime
 	throttles []directory.Throttles
-	// gateways is the number of gateways if it is to be published, else zero.
-	gateways int
-	// keepers are published if there are any.
+	// gatewayCount is the number of gateways to publish; zero if it is not published.
+	gatewayCount int
+	// keepers is the new list of keepers to publish; empty if it is not published.
 	keepers []directory.Keeper
 }
 
-// Batch begins a batch of decisions at a time.
+// Batch starts an empty batch of decisions made at now.
 func (c *Core) Batch(now time.Duration, view *directory.Directory) *Batch {
 	return &Batch{core: c, now: now, view: view, drafts: make(map[string]*draft)}
 }
 
-// Commands returns what must be applied before any heartbeat of the batch is
-// answered.
+// Commands returns the commands that must be applied before any heartbeat of the batch is answered.
 func (b *Batch) Commands() []directory.Command {
 	var commands []directory.Command
 	if len(b.instances) > 0 {
@@ -45,176 +44,176 @@
 	for _, throttles := range b.throttles {
 		commands = append(commands, directory.Command{Throttles: &throttles})
 	}
-	if b.gateways > 0 {
-		commands = append(commands, directory.Command{Gateways: b.gateways})
+	if b.gatewayCount > 0 {
+		commands = append(commands, directory.Command{Gateways: b.gatewayCount})
 	}
 	if len(b.keepers) > 0 {
 		commands = append(commands, directory.Command{Keepers: b.keepers})
 	}
 	for _, draft := range b.order {
-		draft.tellReachable()
+		draft.grantPending()
 		commands = append(commands, draft.commands()...)
 	}
 	return commands
 }
 
 func (b *Batch) draft(service string) *draft {
-	known, found := b.drafts[service]
+	existing, found := b.drafts[service]
 	if !found {
-		known = b.core.draft(b.now, service, b.view)
-		b.drafts[service] = known
-		b.order = append(b.order, known)
+		existing = b.core.draft(b.now, service, b.view)
+		b.drafts[service] = existing
+		b.order = append(b.order, existing)
 	}
-	return known
+	return existing
 }
 
-// Receive takes a heartbeat. One of an instance that left changes nothing. The error
-// is of the kind conflict for a heartbeat that is out of date, and of the kind
-// invalid_argument for one that contradicts what is known; it leaves the batch as it
-// was.
+// Receive adds a heartbeat to the batch. A heartbeat of an instance that is gone has no effect. The
+// error has kind conflict for an outdated heartbeat, and kind invalid_argument for one that
+// contradicts the known state; the batch is unchanged then.
 func (b *Batch) Receive(beat Beat) error {
 	if instance, found := b.view.Instance(beat.Instance); found && instance.State == directory.InstanceGone {
 		return nil
 	}
-	if err := b.core.check(b.now, beat, b.view); err != nil {
+	if err := b.core.checkHeartbeat(b.now, beat, b.view); err != nil {
 		return err
 	}
-	held, found := b.view.Instance(beat.Instance)
+	current, found := b.view.Instance(beat.Instance)
 	if !found {
-		if err := b.core.checkStranger(b.now, beat, b.view); err != nil {
+		if err := b.core.checkTakeover(b.now, beat, b.view); err != nil {
 			return err
 		}
 	}
-	// One that leaves does not come back: a heartbeat that says so was sent before.
-	beat.Draining = beat.Draining || held.State == directory.InstanceDraining
+	// Draining is final: a heartbeat that denies it was sent earlier.
+	beat.Draining = beat.Draining || current.State == directory.InstanceDraining
 	coldAgain := b.core.turnedCold(b.now, beat)
-	known := b.core.note(b.now, beat)
-	wanted := beat.instance(held)
-	b.core.noteWarmUp(&wanted, beat, coldAgain, b.view)
-	if !found || !held.Same(wanted) {
-		b.instances = append(b.instances, wanted)
+	state := b.core.recordHeartbeat(b.now, beat)
+	updated := beat.instance(current)
+	b.core.setWarmUp(&updated, beat, coldAgain, b.view)
+	if !found || !current.Same(updated) {
+		b.instances = append(b.instances, updated)
 	}
 	service, configured := b.view.Service(beat.Service)
 	if !configured || !service.Keyed {
+		// If a draft of this batch assigns keys to the instance, its pending answer carries them.
 		return nil
 	}
-	if b.core.changesNothing(b.now, beat, b.view) {
+	if b.core.keepsLayout(b.now, beat, b.view) {
 		// What a draft of this batch gives to the instance its waiting answer will tell.
 		return nil
 	}
-	b.draft(beat.Service).receive(beat, known)
+	b.draft(beat.Service).applyHeartbeat(beat, state)
 	return nil
 }
 
-// Renew takes a heartbeat if it changes nothing, and reports whether it did. The lease
-// of the instance must not have ended, nor must a heartbeat after its end wait for its batch:
-// until then no batch that is being applied has passed on its keys, and since the heartbeat
-// counts as answered from now on no later batch does, so that it may be answered without waiting
-// for one. The same holds for the first heartbeat that a new leader hears of an instance, whose
-// lease counts as inherited: the batches of 9,999 first heartbeats within 3 s were more than a
-// leader decides, and half of them were not answered in time.
+// Renew processes a heartbeat that changes nothing, and reports whether it did. Such a heartbeat can
+// be answered without waiting for a batch: the lease has not expired, so no batch in progress
+// reassigns the keys, and since the heartbeat counts as answered from here on, no later batch does
+// either. It returns false if the lease has expired, and while a heartbeat received after the expiry
+// waits for its batch. The first heartbeat that a new leader receives from an instance is treated
+// alike; its lease counts as inherited. Batches for 9,999 first heartbeats within 3 s were more than
+// a leader could process, and half of the heartbeats were not answered in time.
 func (c *Core) Renew(now time.Duration, beat Beat, view *directory.Directory) bool {
-	known, met := c.contacts[beat.Instance]
-	held, found := view.Instance(beat.Instance)
-	if !found || now > c.leaseEnd(beat.Instance) || met && known.returned || !held.Same(beat.instance(held)) {
+	state, tracked := c.heartbeats[beat.Instance]
+	instance, found := view.Instance(beat.Instance)
+	if !found || now > c.leaseEnd(beat.Instance) || tracked && state.returnedAfterExpiry || !instance.Same(beat.instance(instance)) {
 		return false
 	}
-	if held.WarmUp > 0 || beat.WarmUp > 0 {
+	if instance.WarmUp > 0 || beat.WarmUp > 0 {
 		return false
 	}
 	service, found := view.Service(beat.Service)
-	if !found || c.check(now, beat, view) != nil {
+	if !found || c.checkHeartbeat(now, beat, view) != nil {
 		return false
 	}
-	if service.Keyed && !c.changesNothing(now, beat, view) {
+	if service.Keyed && !c.keepsLayout(now, beat, view) {
 		return false
 	}
-	c.note(now, beat)
+	c.recordHeartbeat(now, beat)
 	return true
 }
 
-// note remembers a heartbeat as the newest of its instance. Its answer is given later,
-// from the state that is applied by then, and may renew the lease. So the lease counts
-// as renewed from here on: a batch that is decided before the answer is given must not
-// pass on keys that the answer grants.
-func (c *Core) note(now time.Duration, beat Beat) *contact {
-	ended := now > c.leaseEnd(beat.Instance)
-	known, found := c.contacts[beat.Instance]
+// recordHeartbeat stores a heartbeat as the newest of its instance. It is answered later, from the
+// state applied by then, and the answer may renew the lease. The lease therefore counts as renewed
+// from here on: a batch decided before the answer is sent must not reassign keys that the answer
+// grants.
+func (c *Core) recordHeartbeat(now time.Duration, beat Beat) *heartbeatState {
+	expired := now > c.leaseEnd(beat.Instance)
+	state, found := c.heartbeats[beat.Instance]
 	if !found {
-		known = &contact{}
-		c.contacts[beat.Instance] = known
-		c.lastSeen[beat.Service] = now
-	}
-	known.returned = ended
-	known.inSequence = found
-	known.sequence = beat.Sequence
-	known.noteInterval(now)
-	known.beatAt = now
-	known.leaseEnd = max(known.leaseEnd, now+c.waitFor(c.config.Lease))
-	known.warmAt = now + beat.WarmUp
-	known.held = beat.Held
-	known.slots = beat.Slots
-	known.answerableUntil = now + max(c.config.HoldBack-decisionMargin, 1)
-	if _, seen := c.firstSeen[beat.Service]; !seen {
-		c.firstSeen[beat.Service] = now
-	}
-	return known
+		state = &heartbeatState{}
+		c.heartbeats[beat.Instance] = state
+		c.lastNewInstanceAt[beat.Service] = now
+	}
+	state.returnedAfterExpiry = expired
+	state.inSequence = found
+	state.sequence = beat.Sequence
+	state.updateInterval(now)
+	state.receivedAt = now
+	state.leaseEnd = max(state.leaseEnd, now+c.waitFor(c.config.Lease))
+	state.warmAt = now + beat.WarmUp
+	state.held = beat.Held
+	state.slots = beat.Slots
+	state.answerableUntil = now + max(c.config.HoldBack-commitMargin, 1)
+	if _, seen := c.firstInstanceAt[beat.Service]; !seen {
+		c.firstInstanceAt[beat.Service] = now
+	}
+	return state
 }
 
-// receive takes what a heartbeat says of the keys of its instance.
-func (d *draft) receive(beat Beat, known *contact) {
-	if known.inSequence {
-		d.release(beat)
+// applyHeartbeat updates the layout by what a heartbeat says about the keys of its instance.
+func (d *draft) applyHeartbeat(beat Beat, state *heartbeatState) {
+	if state.inSequence {
+		d.freeReleased(beat)
 	}
 	if beat.Draining || d.view.Evacuated(beat.Zone) {
-		d.drain(beat.Instance, known.drains(d.now))
+		d.drain(beat.Instance, state.drainingFor(d.now))
 	} else {
-		known.drainsSince = 0
+		state.drainingSince = 0
 	}
-	d.settle()
+	d.assignUnowned()
 	if !beat.Draining {
 		d.offload(beat.Instance)
 	}
-	d.grant(beat.Instance)
-	d.join(beat.Instance)
+	d.markGranted(beat.Instance)
+	d.mergeRanges(beat.Instance)
 }
 
-// Leave takes a server's word that it leaves for good. Its keys pass on once its lease has
-// ended. Where the word does not tell the time of its start, the newest life leaves, and those that
-// wait for their second heartbeat.
+// Leave handles the announcement of a server that it leaves for good. Its keys are reassigned once
+// its lease has expired. If the announcement does not include the start time of the server, it
+// applies to the newest incarnation and to those that wait for their second heartbeat.
 func (b *Batch) Leave(leaving directory.Incarnation) {
 	if leaving.Born > 0 {
-		b.leave(leaving)
+		b.markGone(leaving)
 		return
 	}
-	for _, life := range b.livesThatMayLeave(leaving.Server) {
-		b.leave(life)
+	for _, incarnation := range b.leavingIncarnations(leaving.Server) {
+		b.markGone(incarnation)
 	}
 }
 
-// livesThatMayLeave returns the lives of a server that its word to leave may mean: the newest one
-// known, and those that wait for their second heartbeat.
-func (b *Batch) livesThatMayLeave(server string) []directory.Incarnation {
+// leavingIncarnations returns the incarnations of a server that an announcement without a start time
+// may refer to: the newest one known, and those that wait for their second heartbeat.
+func (b *Batch) leavingIncarnations(server string) []directory.Incarnation {
 	newest := directory.Incarnation{Server: server}
-	for _, life := range b.view.Lives(server) {
-		newest.Born = max(newest.Born, life.ID.Incarnation().Born)
+	for _, instance := range b.view.Lives(server) {
+		newest.Born = max(newest.Born, instance.ID.Incarnation().Born)
 	}
-	lives := []directory.Incarnation{newest}
-	for id := range b.core.strangers {
-		if waiting := id.Incarnation(); waiting.Server == server && waiting != newest {
-			lives = append(lives, waiting)
+	incarnations := []directory.Incarnation{newest}
+	for id := range b.core.provisional {
+		if incarnation := id.Incarnation(); incarnation.Server == server && incarnation != newest {
+			incarnations = append(incarnations, incarnation)
 		}
 	}
-	slices.SortFunc(lives, func(a, b directory.Incarnation) int { return cmp.Compare(a.Born, b.Born) })
-	return lives
+	slices.SortFunc(incarnations, func(a, b directory.Incarnation) int { return cmp.Compare(a.Born, b.Born) })
+	return incarnations
 }
 
-// leave marks one life as gone.
-func (b *Batch) leave(life directory.Incarnation) {
-	id := life.ID()
+// markGone marks one incarnation as gone.
+func (b *Batch) markGone(incarnation directory.Incarnation) {
+	id := incarnation.ID()
 	instance, found := b.view.Instance(id)
 	if !found {
-		// Remembered as gone, so that a late heartbeat does not announce it.
+		// Stored as gone, so that a delayed heartbeat does not register it.
 		instance = directory.Instance{ID: id}
 	}
 	if instance.State == directory.InstanceGone {
@@ -224,49 +223,51 @@
 	b.instances = append(b.instances, instance)
 }
 
-// Tick decides what is due by itself.
+// Tick adds the decisions that are due without a heartbeat.
 func (b *Batch) Tick() {
-	b.silent()
+	b.markSilent()
 	b.publishTimes()
 	b.publishGateways()
 	b.publishKeepers()
-	throttleDue := b.throttleDue()
+	throttleDue := b.throttlesDue()
 	for _, service := range b.view.KeyedServices() {
 		if throttleDue {
 			b.publishThrottles(service.Name)
 		}
-		if _, drafted := b.drafts[service.Name]; !drafted && !b.due(service.Name) {
+		if _, found := b.drafts[service.Name]; !found && !b.needsDraft(service.Name) {
 			continue
 		}
 		draft := b.draft(service.Name)
-		draft.found()
-		draft.passOnEnded()
+		draft.createLayout()
+		draft.freeExpired()
 		draft.drainEvacuated()
-		draft.settle()
-		draft.offloadReachable()
+		draft.assignUnowned()
+		draft.offloadPending()
 	}
 }
 
-// due reports whether a service has no layout yet, keys without an owner, or keys of an
-// instance that surely holds nothing any more.
-func (b *Batch) due(service string) bool {
+// needsDraft reports whether a service has no layout yet, keys without an owner, keys of an instance
+// that certainly holds nothing any more, keys in an evacuated zone that are not revoked yet, or a
+// busy instance whose answer is pending.
+func (b *Batch) needsDraft(service string) bool {
 	index := b.core.index(service, b.view)
-	if len(index.owned) == 0 || index.free > 0 {
+	if len(index.owned) == 0 || index.unowned > 0 {
 		return true
 	}
 	for owner := range index.owned {
-		if b.core.ended(b.now, owner, b.view) || b.core.leavesZone(owner, index, b.view) {
+		if b.core.holdsNothing(b.now, owner, b.view) || b.core.hasKeysToEvacuate(owner, index, b.view) {
 			return true
 		}
 	}
-	return b.busyReachable(service)
+	return b.busyInstancePending(service)
 }
 
-// silent marks the instances whose lease has ended without a heartbeat.
-func (b *Batch) silent() {
+// markSilent marks instances whose lease expired without a heartbeat: ready ones as silent, draining
+// ones as gone.
+func (b *Batch) markSilent() {
 	for instance := range b.view.EachInstance() {
 		alive := instance.State == directory.InstanceReady || instance.State == directory.InstanceDraining
-		if !alive || b.now <= b.core.leaseEnd(instance.ID) || b.core.heardNow(b.now, instance.ID) {
+		if !alive || b.now <= b.core.leaseEnd(instance.ID) || b.core.receivedInBatch(b.now, instance.ID) {
 			continue
 		}
 		if instance.State == directory.InstanceDraining {
@@ -278,13 +279,13 @@
 	}
 }
 
-// heardNow reports whether a heartbeat of this very batch came from an instance.
-func (c *Core) heardNow(now time.Duration, id directory.InstanceID) bool {
-	known, found := c.contacts[id]
-	return found && known.beatAt == now
+// receivedInBatch reports whether the current batch contains a heartbeat of an instance.
+func (c *Core) receivedInBatch(now time.Duration, id directory.InstanceID) bool {
+	state, found := c.heartbeats[id]
+	return found && state.receivedAt == now
 }
 
-// Receive is a batch of one heartbeat.
+// Receive decides on a batch of one heartbeat.
 func (c *Core) Receive(now time.Duration, beat Beat, view *directory.Directory) ([]directory.Command, error) {
 	batch := c.Batch(now, view)
 	if err := batch.Receive(beat); err != nil {
@@ -293,14 +294,14 @@
 	return batch.Commands(), nil
 }
 
-// Leave is a batch of one instance that leaves.
+// Leave decides on a batch of one instance that leaves.
 func (c *Core) Leave(id directory.InstanceID, view *directory.Directory) []directory.Command {
 	batch := c.Batch(0, view)
 	batch.Leave(id.Incarnation())
 	return batch.Commands()
 }
 
-// Tick is a batch of what is due by itself.
+// Tick decides on a batch without heartbeats.
 func (c *Core) Tick(now time.Duration, view *directory.Directory) []directory.Command {
 	batch := c.Batch(now, view)
 	batch.Tick()
--- a/internal/heartbeat/batch_test.go
+++ b/internal/heartbeat/batch_test.go
@@ -8,12 +8,12 @@
 	"github.com/thorntiller/thorntiller/internal/fault"
 )
 
-// TestBatchMakesOneChangeOfEachKind: however many instances announce themselves or
-// take keys at the same time; a senseless heartbeat among them changes nothing.
+// TestBatchMakesOneChangeOfEachKind checks that a batch yields one command per kind of change, however
+// many instances register or are granted keys in it, and that an invalid heartbeat does not affect it.
 func TestBatchMakesOneChangeOfEachKind(t *testing.T) {
 	s := newScript(t)
 	ids := []directory.InstanceID{"a", "b", "c"}
-	together := func() []directory.Command {
+	receiveAll := func() []directory.Command {
 		batch := s.core.Batch(s.now, s.view)
 		for _, id := range ids {
 			s.sequence[id]++
@@ -22,28 +22,28 @@
 			}
 		}
 		if err := batch.Receive(Beat{Instance: "a", Service: "s", Address: "address-a", Sequence: 1}); !fault.Is(err, fault.Conflict) {
-			t.Errorf("a late heartbeat: %v", err)
+			t.Errorf("outdated heartbeat in a batch: error %v, want kind conflict", err)
 		}
 		commands := batch.Commands()
 		s.apply(directory.Joined(commands))
 		return commands
 	}
-	if commands := together(); len(commands) != 1 || len(commands[0].Instances) != len(ids) {
-		t.Errorf("announced by %+v", commands)
+	if commands := receiveAll(); len(commands) != 1 || len(commands[0].Instances) != len(ids) {
+		t.Errorf("registration: commands %+v, want one with all instances", commands)
 	}
 	s.tick(time.Second)
-	if commands := together(); len(commands) != 1 || commands[0].Layout == nil || len(commands[0].Layout.Changed) != len(ids) {
-		t.Errorf("granted by %+v", commands)
+	if commands := receiveAll(); len(commands) != 1 || commands[0].Layout == nil || len(commands[0].Layout.Changed) != len(ids) {
+		t.Errorf("first grants: commands %+v, want one layout change per instance", commands)
 	}
 	for _, id := range ids {
 		if grant := s.core.Answer(id, s.view); len(grant.Holdings) != 1 {
-			t.Errorf("%s gets %+v", id, grant)
+			t.Errorf("%s is granted %+v, want one holding", id, grant)
 		}
 	}
 }
 
-// TestRenewChangesNothing: it takes a heartbeat only while the lease lasts, and none
-// by which keys would be given, taken or moved.
+// TestRenewChangesNothing checks that Renew accepts a heartbeat only while the lease is valid, and none
+// that would assign, revoke or move keys.
 func TestRenewChangesNothing(t *testing.T) {
 	renewed := func(s *script, change func(*Beat)) bool {
 		beat := Beat{Instance: "a", Service: "s", Address: "address-a", Slots: 2, Sequence: s.sequence["a"] + 1}
@@ -53,24 +53,24 @@
 		}
 		return s.core.Renew(s.now, beat, s.view)
 	}
-	if s := founded(t); !renewed(s, nil) {
-		t.Error("a heartbeat that changes nothing is not taken")
+	if s := newScriptWithLayout(t); !renewed(s, nil) {
+		t.Error("Renew rejected a heartbeat that changes nothing")
 	}
-	refused := map[string]func(*Beat){
-		"it drains":       func(beat *Beat) { beat.Draining = true },
-		"another address": func(beat *Beat) { beat.Address = "elsewhere" },
-		"it came before":  func(beat *Beat) { beat.Sequence = 1 },
-		"an alien fence":  func(beat *Beat) { holding(9, 9, 7)(beat) },
+	batched := map[string]func(*Beat){
+		"draining":          func(beat *Beat) { beat.Draining = true },
+		"changed address":   func(beat *Beat) { beat.Address = "elsewhere" },
+		"outdated sequence": func(beat *Beat) { beat.Sequence = 1 },
+		"unknown fence":     func(beat *Beat) { holding(9, 9, 7)(beat) },
 	}
-	for name, change := range refused {
-		if s := founded(t); renewed(s, change) {
-			t.Errorf("taken though %s", name)
+	for name, change := range batched {
+		if s := newScriptWithLayout(t); renewed(s, change) {
+			t.Errorf("Renew accepted a heartbeat: %s", name)
 		}
 	}
-	ended := founded(t)
-	ended.now += 4 * time.Second
-	if renewed(ended, nil) {
-		t.Error("taken after the end of the lease")
+	expired := newScriptWithLayout(t)
+	expired.now += 4 * time.Second
+	if renewed(expired, nil) {
+		t.Error("Renew accepted a heartbeat after the lease expired")
 	}
 	ungranted := newScript(t)
 	if _, err := ungranted.beat("a", nil); err != nil {
@@ -78,57 +78,56 @@
 	}
 	ungranted.tick(time.Second)
 	if ungranted.core.Renew(ungranted.now, Beat{Instance: "a", Service: "s", Address: "address-a", Slots: 2, Sequence: 2}, ungranted.view) {
-		t.Error("taken before the instance was told of its keys")
+		t.Error("Renew accepted a heartbeat before the instance was granted its keys")
 	}
 }
 
-// TestNewLeaderRenewsLeasesThatLast: the first heartbeat that a leader hears of an instance is
-// taken without a batch while the lease that an earlier leader may have granted lasts, and then
-// keeps the keys of the instance for a whole lease; not after its end, and not if it changes
-// anything.
+// TestNewLeaderRenewsLeasesThatLast checks that a new leader accepts the first heartbeat of an instance
+// without a batch while a lease from an earlier leader may be valid, and then leaves its keys to it for a
+// whole lease. It must not accept one after that lease has expired, or one that changes anything.
 func TestNewLeaderRenewsLeasesThatLast(t *testing.T) {
 	beatOf := func(s *script) Beat {
 		beat := Beat{Instance: "a", Service: "s", Address: "address-a", Slots: 2, Sequence: s.sequence["a"] + 1}
 		holding(0, half-1, 1)(&beat)
 		return beat
 	}
-	elected := func(after time.Duration) *script {
-		s := founded(t)
+	afterElection := func(after time.Duration) *script {
+		s := newScriptWithLayout(t)
 		s.now += time.Minute
 		s.core.Lead(s.now)
 		s.now += after
 		return s
 	}
-	inherited := newScript(t).core.config.MaxLease
-	s := elected(inherited)
+	maxLease := newScript(t).core.config.MaxLease
+	s := afterElection(maxLease)
 	if !s.core.Renew(s.now, beatOf(s), s.view) {
-		t.Fatal("the lease that an earlier leader may have granted lasts, and the heartbeat was not taken")
+		t.Fatal("Renew rejected a heartbeat while a lease from an earlier leader may be valid")
 	}
 	if grant := s.core.Answer("a", s.view); !grant.Renewed || len(grant.Holdings) != 1 {
-		t.Errorf("answered by %+v", grant)
+		t.Errorf("grant %+v, want a renewal of one holding", grant)
 	}
 	renewedAt := s.now
 	for s.now < renewedAt+s.core.config.Lease {
 		s.tick(100 * time.Millisecond)
 		if holding, _ := s.view.Layout("s").At(0); holding.Owner != "a" {
-			t.Fatalf("keys passed on %s after the heartbeat", s.now-renewedAt)
+			t.Fatalf("keys reassigned %s after the heartbeat", s.now-renewedAt)
 		}
 	}
-	s = elected(inherited + time.Second)
+	s = afterElection(maxLease + time.Second)
 	if s.core.Renew(s.now, beatOf(s), s.view) {
-		t.Error("taken after the end of the lease that an earlier leader may have granted")
+		t.Error("Renew accepted a heartbeat after any lease from an earlier leader expired")
 	}
 	for name, change := range map[string]func(*Beat){
-		"it drains":        func(beat *Beat) { beat.Draining = true },
-		"another address":  func(beat *Beat) { beat.Address = "elsewhere" },
-		"an alien fence":   func(beat *Beat) { holding(9, 9, 7)(beat) },
-		"another instance": func(beat *Beat) { beat.Instance = "z" },
+		"draining":         func(beat *Beat) { beat.Draining = true },
+		"changed address":  func(beat *Beat) { beat.Address = "elsewhere" },
+		"unknown fence":    func(beat *Beat) { holding(9, 9, 7)(beat) },
+		"unknown instance": func(beat *Beat) { beat.Instance = "z" },
 	} {
-		s := elected(time.Second)
+		s := afterElection(time.Second)
 		beat := beatOf(s)
 		change(&beat)
 		if s.core.Renew(s.now, beat, s.view) {
-			t.Errorf("taken by a new leader though %s", name)
+			t.Errorf("Renew at a new leader accepted a heartbeat: %s", name)
 		}
 	}
 }
--- a/internal/heartbeat/choice.go
+++ b/internal/heartbeat/choice.go
@@ -8,47 +8,51 @@
 	"github.com/thorntiller/thorntiller/internal/directory"
 )
 
-// mostLooked bounds the candidates among which one choice is made. While each choice looked at all
-// 5,800 instances of a service, the keys of 116 instances that left at once took 323 ms, in which
-// the leader answered nobody.
-const mostLooked = 256
+// maxWindow bounds the candidates considered for one choice. When each choice considered all 5,800
+// instances of a service, reassigning the keys of 116 instances that left at once took 323 ms, during
+// which the leader answered no heartbeat.
+const maxWindow = 256
 
-// window returns the candidates among which the next choice is made: all, or the next ones in
-// turn.
-func (d *draft) window() []*candidate {
-	if len(d.candidates) <= mostLooked {
+// nextWindow returns the candidates considered for the next choice: all of them, or the next
+// maxWindow in round-robin order.
+func (d *draft) nextWindow() []*candidate {
+	if len(d.candidates) <= maxWindow {
 		return d.candidates
 	}
-	first := d.core.windowStart % len(d.candidates)
-	d.core.windowStart = first + mostLooked
-	window := d.candidates[first:min(first+mostLooked, len(d.candidates))]
-	return append(slices.Clip(window), d.candidates[:mostLooked-len(window)]...)
+	first := d.core.nextCandidate % len(d.candidates)
+	d.core.nextCandidate = first + maxWindow
+	window := d.candidates[first:min(first+maxWindow, len(d.candidates))]
+	return append(slices.Clip(window), d.candidates[:maxWindow-len(window)]...)
 }
 
-// least returns the instance to which keys that nobody holds cost least: by the demand for its
-// slots, the keys that it has, and the time until it is told, in which nobody serves them. A cold
-// instance carries few requests, so that it gets keys only while no warm one is there.
-func (d *draft) least() *candidate {
-	cost := func(each *candidate) float64 { return d.burden(each) + gapCost*d.untilTold(each).Seconds() }
-	return slices.MinFunc(d.window(), func(a, b *candidate) int {
-		return cmp.Or(compareCold(a, b), cmp.Compare(cost(a), cost(b)), cmp.Compare(a.id, b.id))
+// cheapestOwner returns the candidate with the lowest cost as the owner of unowned keys. The cost
+// consists of the demand for its slots, the number of its keys, and the time until it learns of the
+// keys, during which they are not served. A cold instance carries few requests, so it gets keys only
+// if the window contains no warm one.
+func (d *draft) cheapestOwner() *candidate {
+	cost := func(candidate *candidate) float64 {
+		return d.load(candidate) + gapCost*d.notificationDelay(candidate).Seconds()
+	}
+	return slices.MinFunc(d.nextWindow(), func(a, b *candidate) int {
+		return cmp.Or(warmFirst(a, b), cmp.Compare(cost(a), cost(b)), cmp.Compare(a.id, b.id))
 	})
 }
 
-// untilTold returns how long it is expected to take until an instance hears of keys that it gets
-// now: nothing while its answer waits, else until its next heartbeat.
-func (d *draft) untilTold(each *candidate) time.Duration {
-	known := d.core.contacts[each.id]
-	if known == nil || known.interval <= 0 {
-		return unknownGap
+// notificationDelay returns the expected time until an instance learns of keys assigned to it now:
+// zero while its answer is pending, else the time until its next heartbeat.
+func (d *draft) notificationDelay(candidate *candidate) time.Duration {
+	state := d.core.heartbeats[candidate.id]
+	if state == nil || state.interval <= 0 {
+		return assumedGap
 	}
-	if d.now < known.answerableUntil {
+	if d.now < state.answerableUntil {
 		return 0
 	}
-	return max(known.beatAt+known.interval-d.now, 0)
+	return max(state.receivedAt+state.interval-d.now, 0)
 }
 
-func compareCold(a, b *candidate) int {
+// warmFirst orders warm candidates before cold ones.
+func warmFirst(a, b *candidate) int {
 	switch {
 	case a.warm == b.warm:
 		return 0
@@ -59,47 +63,47 @@
 	}
 }
 
-// keysBurden is the share of the slots that all keys count for by their number, so
-// that keys without demand are spread as well.
-const keysBurden = 0.5
+// keyCountWeight is the load, as a share of slots, that an instance with one slot has from the number
+// of its keys if it owns all keys. It spreads keys without demand as well.
+const keyCountWeight = 0.5
 
-func (d *draft) burden(each *candidate) float64 {
-	return d.utilisation(each) + keysBurden*float64(each.keys)/float64(directory.MaxKey+1)/float64(each.slots)
+func (d *draft) load(candidate *candidate) float64 {
+	return d.utilisation(candidate) + keyCountWeight*float64(candidate.keyCount)/float64(directory.MaxKey+1)/float64(candidate.slots)
 }
 
-// bestTarget returns the warm instance that costs least as the next holder: by the
-// demand for its slots, and by the time until it is told of its keys, in which
-// nobody holds them. Those chosen already are left out.
+// bestTarget returns the warm candidate with the lowest cost as the next owner of the source's keys.
+// The cost consists of the demand for its slots and the expected time without a holder. Candidates
+// in chosen are skipped.
 func (d *draft) bestTarget(source *candidate, chosen []*candidate) *candidate {
 	var best *candidate
 	bestCost := 0.0
-	for _, each := range d.window() {
-		if each == source || !each.warm || each.rows+each.awaited >= maxRows || slices.Contains(chosen, each) || d.reserved(each) {
+	for _, candidate := range d.nextWindow() {
+		if candidate == source || !candidate.warm || candidate.rangeCount+candidate.incoming >= maxRanges || slices.Contains(chosen, candidate) || d.reserved(candidate) {
 			continue
 		}
-		cost := d.utilisation(each) + gapCost*d.gap(source, each).Seconds()
+		cost := d.utilisation(candidate) + gapCost*d.handoverGap(source, candidate).Seconds()
 		if best == nil || cost < bestCost {
-			best, bestCost = each, cost
+			best, bestCost = candidate, cost
 		}
 	}
 	return best
 }
 
-// gap returns how long nobody is expected to hold keys that pass from one instance to
-// another: from the source's heartbeat, which has just come, to the first one of the
-// target after the source has let go.
-func (d *draft) gap(source, target *candidate) time.Duration {
-	known := d.core.contacts[target.id]
-	if known == nil || known.interval <= 0 {
-		return unknownGap
+// handoverGap returns the expected time without a holder for keys that move from source to target:
+// from the source's heartbeat, which was just received, to the first heartbeat of the target after
+// the source has released the keys.
+func (d *draft) handoverGap(source, target *candidate) time.Duration {
+	state := d.core.heartbeats[target.id]
+	if state == nil || state.interval <= 0 {
+		return assumedGap
 	}
-	letGo := releaseTime + time.Duration(d.serviceTime(source)*float64(time.Second))
-	if d.now+letGo < known.answerableUntil {
-		return letGo
+	releasedAfter := releaseTime + time.Duration(d.serviceTime(source)*float64(time.Second))
+	if d.now+releasedAfter < state.answerableUntil {
+		return releasedAfter
 	}
-	until := known.beatAt + known.interval - d.now
-	for until < letGo {
-		until += known.interval
+	untilHeartbeat := state.receivedAt + state.interval - d.now
+	for untilHeartbeat < releasedAfter {
+		untilHeartbeat += state.interval
 	}
-	return until
+	return untilHeartbeat
 }
--- a/internal/heartbeat/core.go
+++ b/internal/heartbeat/core.go
@@ -9,42 +9,41 @@
 	"github.com/thorntiller/thorntiller/internal/fault"
 )
 
-// Core is not safe for concurrent use.
+// Core decides on the heartbeats and layouts of all services. It is not safe for concurrent use.
 type Core struct {
-	config    Config
-	leadSince time.Duration
-	contacts  map[directory.InstanceID]*contact
-	// firstSeen is when this leader first heard of an instance of a service that
-	// has no layout.
-	firstSeen map[string]time.Duration
-	// lastSeen is when it last heard of one for the first time.
-	lastSeen map[string]time.Duration
-	// demands are the requests for each service, as gateways count them.
+	config     Config
+	leadSince  time.Duration
+	heartbeats map[directory.InstanceID]*heartbeatState
+	// firstInstanceAt is when this leader received the first heartbeat of each service.
+	firstInstanceAt map[string]time.Duration
+	// lastNewInstanceAt is when this leader last received the first heartbeat of an instance, by service.
+	lastNewInstanceAt map[string]time.Duration
+	// demands are the request rates of each service, as counted by gateways.
 	demands map[string]*demand
-	// indexes are those of the layouts in force, by service.
+	// indexes describe the current layouts, by service.
 	indexes map[string]*index
-	// newcomers are the instances of each service that hold no keys, and when each was
-	// heard last.
-	newcomers map[string]map[directory.InstanceID]time.Duration
-	// reservedUntil is until when each instance that is to get a hot key gets no others.
+	// emptyInstances are the instances of each service that own no keys, with the time of their last
+	// heartbeat.
+	emptyInstances map[string]map[directory.InstanceID]time.Duration
+	// reservedUntil is until when an instance that is to get a hot key gets no other keys.
 	reservedUntil map[directory.InstanceID]time.Duration
-	// strangers are instances that were not taken at their first heartbeat.
-	strangers map[directory.InstanceID]stranger
-	// targets are the instances that are to get keys which are being moved.
+	// provisional are the instances whose first heartbeat was not accepted.
+	provisional map[directory.InstanceID]provisionalInstance
+	// targets are the next owners of keys that are being moved.
 	targets map[targetKey]directory.InstanceID
-	// windowStart is the position of the next candidates that a choice looks at, where there
-	// are too many for one.
-	windowStart int
-	// publishedAt is when service times were looked at last.
-	publishedAt time.Duration
-	// gateways are when each gateway was heard of last, by name.
+	// nextCandidate is the position of the next window of candidates in services that have more than
+	// maxWindow.
+	nextCandidate int
+	// timesCheckedAt is when service times were last checked for changes to publish.
+	timesCheckedAt time.Duration
+	// gateways is the state of each gateway, by name.
 	gateways map[string]gateway
-	// throttledAt is when hot keys were looked at last.
-	throttledAt time.Duration
-	// countedAt is when their number was published last.
-	countedAt time.Duration
-	// keepersAt is when the keepers were looked at last.
-	keepersAt time.Duration
+	// throttlesCheckedAt is when hot keys were last checked for throttles to publish.
+	throttlesCheckedAt time.Duration
+	// gatewaysCheckedAt is when the number of gateways was last checked.
+	gatewaysCheckedAt time.Duration
+	// keepersCheckedAt is when the keepers were last checked.
+	keepersCheckedAt time.Duration
 }
 
 // New returns a core. Lead must be called before it is used.
@@ -54,42 +53,42 @@
 	return core
 }
 
-// Lead begins a term of leadership. What an earlier leader granted is unknown: its
-// leases may last for the longest lease from now.
+// Lead starts a term of leadership. Leases granted by an earlier leader are unknown and may last for
+// up to MaxLease from now.
 func (c *Core) Lead(now time.Duration) {
 	c.leadSince = now
-	c.contacts = make(map[directory.InstanceID]*contact)
-	c.firstSeen = make(map[string]time.Duration)
-	c.lastSeen = make(map[string]time.Duration)
+	c.heartbeats = make(map[directory.InstanceID]*heartbeatState)
+	c.firstInstanceAt = make(map[string]time.Duration)
+	c.lastNewInstanceAt = make(map[string]time.Duration)
 	c.demands = make(map[string]*demand)
 	c.indexes = make(map[string]*index)
 	c.reservedUntil = make(map[directory.InstanceID]time.Duration)
-	c.strangers = make(map[directory.InstanceID]stranger)
-	c.newcomers = make(map[string]map[directory.InstanceID]time.Duration)
+	c.provisional = make(map[directory.InstanceID]provisionalInstance)
+	c.emptyInstances = make(map[string]map[directory.InstanceID]time.Duration)
 	c.targets = make(map[targetKey]directory.InstanceID)
 	c.gateways = make(map[string]gateway)
-	c.countedAt = 0
-	c.keepersAt = 0
-	c.throttledAt = 0
+	c.gatewaysCheckedAt = 0
+	c.keepersCheckedAt = 0
+	c.throttlesCheckedAt = 0
 }
 
-// leaseEnd returns when the last lease of an instance has surely ended.
+// leaseEnd returns the time after which the last lease of an instance has certainly expired.
 func (c *Core) leaseEnd(id directory.InstanceID) time.Duration {
 	inherited := c.leadSince + c.waitFor(c.config.MaxLease)
-	known, found := c.contacts[id]
+	state, found := c.heartbeats[id]
 	if !found {
 		return inherited
 	}
-	return max(inherited, known.leaseEnd)
+	return max(inherited, state.leaseEnd)
 }
 
-// waitFor returns how long a lease must be waited out by this process's clock.
+// waitFor returns how long to wait, by the local clock, until a lease has certainly expired.
 func (c *Core) waitFor(lease time.Duration) time.Duration {
 	return time.Duration(float64(lease)*(1+c.config.ClockRateBound)) + c.config.Margin
 }
 
-// ended reports whether an instance surely holds nothing any more.
-func (c *Core) ended(now time.Duration, id directory.InstanceID, view *directory.Directory) bool {
+// holdsNothing reports whether an instance certainly holds no keys any more.
+func (c *Core) holdsNothing(now time.Duration, id directory.InstanceID, view *directory.Directory) bool {
 	instance, found := view.Instance(id)
 	if found && instance.Ended {
 		return true
@@ -97,30 +96,31 @@
 	return now > c.leaseEnd(id)
 }
 
-// instance returns the instance as the heartbeat tells of it. What others measured of it
-// is kept.
-func (b Beat) instance(held directory.Instance) directory.Instance {
+// instance returns the directory entry of the instance as reported by the heartbeat. Fields that the
+// heartbeat does not contain are taken from the current entry.
+func (b Beat) instance(current directory.Instance) directory.Instance {
 	state := directory.InstanceReady
 	if b.Draining {
 		state = directory.InstanceDraining
 	}
 	return directory.Instance{
 		ID: b.Instance, Service: b.Service, Address: b.Address, Zone: b.Zone, Slots: b.Slots, State: state,
-		ServiceTime: held.ServiceTime, TimedAt: held.TimedAt, WarmUp: held.WarmUp, ColdSince: held.ColdSince,
+		ServiceTime: current.ServiceTime, TimedAt: current.TimedAt, WarmUp: current.WarmUp, ColdSince: current.ColdSince,
 	}
 }
 
-func (c *Core) check(now time.Duration, beat Beat, view *directory.Directory) error {
-	known, found := c.contacts[beat.Instance]
-	if found && beat.Sequence <= known.sequence {
-		return fault.Newf(fault.Conflict, "sequence %d is not above %d: a newer heartbeat came before", beat.Sequence, known.sequence)
+// checkHeartbeat rejects a heartbeat that is outdated or contradicts the known state.
+func (c *Core) checkHeartbeat(now time.Duration, beat Beat, view *directory.Directory) error {
+	state, found := c.heartbeats[beat.Instance]
+	if found && beat.Sequence <= state.sequence {
+		return fault.Newf(fault.Conflict, "sequence %d is not above %d: a newer heartbeat came before", beat.Sequence, state.sequence)
 	}
 	if instance, exists := view.Instance(beat.Instance); exists {
 		if instance.Service != beat.Service {
 			return fault.Newf(fault.InvalidArgument, "service %q: instance %q announced itself for service %q", beat.Service, beat.Instance, instance.Service)
 		}
 	}
-	if err := c.checkLife(now, beat, view); err != nil {
+	if err := c.checkIncarnation(now, beat, view); err != nil {
 		return err
 	}
 	if err := c.checkAddress(now, beat, view); err != nil {
@@ -129,39 +129,39 @@
 	return checkHeld(beat, view)
 }
 
-// checkAddress refuses an address at which an instance of another service lives.
+// checkAddress rejects an address at which an instance of another service sent a heartbeat recently.
 func (c *Core) checkAddress(now time.Duration, beat Beat, view *directory.Directory) error {
 	for other := range view.InstancesAt(beat.Address) {
 		if other.ID == beat.Instance || other.Service == beat.Service || other.State == directory.InstanceGone {
 			continue
 		}
-		if known, found := c.contacts[other.ID]; found && now-known.beatAt < c.config.AddressReuse {
+		if state, found := c.heartbeats[other.ID]; found && now-state.receivedAt < c.config.AddressReuse {
 			return fault.Newf(fault.InvalidArgument, "address %s: instance %q of service %q lives there", beat.Address, other.ID, other.Service)
 		}
 	}
 	return nil
 }
 
-// checkHeld refuses ranges that cross each other or have a fence that was never
-// given. One within another is sound: a row that was cut or joined is told as long as
-// work on it lasts, beside the one that took its place.
+// checkHeld rejects ranges that overlap partially or have a fence that was never assigned. A range
+// within another one is valid: a range that was split or merged is reported, beside its replacement,
+// as long as requests for it are in progress.
 func checkHeld(beat Beat, view *directory.Directory) error {
 	ordered := slices.Clone(beat.Held)
 	slices.SortFunc(ordered, func(a, b Held) int { return cmp.Or(cmp.Compare(a.First, b.First), cmp.Compare(b.Last, a.Last)) })
 	layout := view.Layout(beat.Service)
-	var around []Held
+	var enclosing []Held
 	for _, held := range ordered {
 		if held.First > held.Last || held.First < 0 || held.Last > directory.MaxKey {
 			return fault.Newf(fault.InvalidArgument, "holdings: %d to %d is no range of keys from 0 to %d", held.First, held.Last, directory.MaxKey)
 		}
-		for len(around) > 0 && around[len(around)-1].Last < held.First {
-			around = around[:len(around)-1]
+		for len(enclosing) > 0 && enclosing[len(enclosing)-1].Last < held.First {
+			enclosing = enclosing[:len(enclosing)-1]
 		}
-		if len(around) > 0 && held.Last > around[len(around)-1].Last {
-			outer := around[len(around)-1]
+		if len(enclosing) > 0 && held.Last > enclosing[len(enclosing)-1].Last {
+			outer := enclosing[len(enclosing)-1]
 			return fault.Newf(fault.InvalidArgument, "holdings: %d to %d crosses %d to %d", held.First, held.Last, outer.First, outer.Last)
 		}
-		around = append(around, held)
+		enclosing = append(enclosing, held)
 		if err := checkFence(held, layout); err != nil {
 			return err
 		}
@@ -169,7 +169,7 @@
 	return nil
 }
 
-// checkFence refuses a range of which each part has a fence above the newest.
+// checkFence rejects a range whose fence is above the current fence of one of its parts.
 func checkFence(held Held, layout directory.Layout) error {
 	for first := held.First; first <= held.Last; {
 		holding, found := layout.At(first)
@@ -189,33 +189,33 @@
 	return Range{First: holding.First, Last: holding.Last}
 }
 
-// Answer returns what the newest heartbeat of an instance is granted. It must be
-// called after the commands of Receive were applied, in the same term, and after a
-// quorum round that began after the heartbeat came.
+// Answer returns the grant for the newest heartbeat of an instance. It must be called after the
+// commands of Receive were applied, in the same term, and after a quorum round that started after the
+// heartbeat was received.
 //
-// Invariant: no batch that was decided since Receive or Renew took the heartbeat passes
-// on keys that the answer grants, since the lease counts as renewed from then on; and
-// one that was decided before is applied, since the next batch waits for its end.
+// Invariant: no batch decided since Receive or Renew accepted the heartbeat reassigns keys that the
+// answer grants, since the lease counts as renewed from then on. Batches decided earlier are already
+// applied, since each batch waits until the previous one is finished.
 func (c *Core) Answer(id directory.InstanceID, view *directory.Directory) Grant {
 	instance, found := view.Instance(id)
-	known := c.contacts[id]
-	if !found || known == nil || instance.State == directory.InstanceGone {
+	state := c.heartbeats[id]
+	if !found || state == nil || instance.State == directory.InstanceGone {
 		return Grant{}
 	}
 	service, found := view.Service(instance.Service)
 	if !found || !service.Keyed {
 		return Grant{}
 	}
-	known.answerableUntil = 0
-	known.returned = false
+	state.answerableUntil = 0
+	state.returnedAfterExpiry = false
 	grant := Grant{Renewed: true, Lease: c.config.Lease}
 	for _, holding := range c.index(instance.Service, view).owned[id] {
 		if holding.Revoked || !holding.Granted {
-			// Keys that were given to the instance too late for this answer are told by
-			// the next one: gateways do not send requests for them before.
+			// Keys that were assigned to the instance too late for this answer are sent with the next
+			// one. Gateways do not route requests for them to the instance until then.
 			continue
 		}
-		if known.holds(holding) {
+		if state.holds(holding) {
 			holding.Handover = ""
 		}
 		grant.Holdings = append(grant.Holdings, holding)
--- a/internal/heartbeat/core_test.go
+++ b/internal/heartbeat/core_test.go
@@ -10,7 +10,7 @@
 	"github.com/thorntiller/thorntiller/internal/fault"
 )
 
-// script drives one core by hand against a directory with the service "s".
+// script drives one core step by step, with a directory that contains the keyed service "s".
 type script struct {
 	t        testing.TB
 	core     *Core
@@ -45,12 +45,13 @@
 	}
 }
 
+// tick advances the time and applies the decisions that are due.
 func (s *script) tick(after time.Duration) {
 	s.now += after
 	s.apply(s.core.Tick(s.now, s.view)...)
 }
 
-// beat sends a heartbeat of an instance at its own address, changed as given.
+// beat sends a heartbeat from an instance at its own address, modified by change, and returns the answer.
 func (s *script) beat(id directory.InstanceID, change func(*Beat)) (Grant, error) {
 	s.t.Helper()
 	s.sequence[id]++
@@ -66,25 +67,26 @@
 	return s.core.Answer(id, s.view), nil
 }
 
+// holding adds a held range to a heartbeat.
 func holding(first, last directory.Key, fence directory.Fence) func(*Beat) {
 	return func(beat *Beat) {
 		beat.Held = append(beat.Held, Held{Range: Range{First: first, Last: last}, Fence: fence})
 	}
 }
 
-// founded returns a script in which two instances hold half of the keys each.
-func founded(t *testing.T) *script {
+// newScriptWithLayout returns a script in which instances a and b hold half of the keys each.
+func newScriptWithLayout(t *testing.T) *script {
 	t.Helper()
 	s := newScript(t)
 	for _, id := range []directory.InstanceID{"a", "b"} {
 		if grant, err := s.beat(id, nil); err != nil || len(grant.Holdings) > 0 {
-			t.Fatalf("%s gets %+v, %v before the layout", id, grant, err)
+			t.Fatalf("%s is granted %+v, %v before the first layout", id, grant, err)
 		}
 	}
 	s.tick(time.Second)
 	for _, id := range []directory.InstanceID{"a", "b"} {
 		if grant, err := s.beat(id, nil); err != nil || len(grant.Holdings) != 1 || grant.Lease != 3*time.Second {
-			t.Fatalf("%s gets %+v, %v", id, grant, err)
+			t.Fatalf("%s is granted %+v, %v", id, grant, err)
 		}
 	}
 	return s
@@ -92,43 +94,43 @@
 
 const half = (directory.MaxKey + 1) / 2
 
-// TestSenselessHeartbeatsAreRefused: each by naming what is wrong, and nobody loses
-// anything by it.
+// TestSenselessHeartbeatsAreRefused checks that an invalid heartbeat is rejected with an error that names
+// the problem, and that the directory does not change.
 func TestSenselessHeartbeatsAreRefused(t *testing.T) {
 	cases := map[string]struct {
 		change func(*Beat)
 		kind   fault.Kind
-		names  string
+		detail string
 	}{
-		"crossing rows": {func(beat *Beat) { holding(0, 100, 1)(beat); holding(50, 200, 1)(beat) }, fault.InvalidArgument, "crosses"},
-		"beyond keys":   {holding(0, directory.MaxKey+1, 1), fault.InvalidArgument, "no range"},
-		"backwards":     {holding(9, 3, 1), fault.InvalidArgument, "no range"},
-		"unknown fence": {holding(0, 100, 9), fault.InvalidArgument, "fence 9"},
-		"other service": {func(beat *Beat) { beat.Service = "other" }, fault.InvalidArgument, "service"},
-		"late":          {func(beat *Beat) { beat.Sequence = 1 }, fault.Conflict, "sequence"},
-	}
-	for name, c := range cases {
-		s := founded(t)
+		"overlapping ranges":        {func(beat *Beat) { holding(0, 100, 1)(beat); holding(50, 200, 1)(beat) }, fault.InvalidArgument, "crosses"},
+		"range beyond the last key": {holding(0, directory.MaxKey+1, 1), fault.InvalidArgument, "no range"},
+		"reversed range":            {holding(9, 3, 1), fault.InvalidArgument, "no range"},
+		"unknown fence":             {holding(0, 100, 9), fault.InvalidArgument, "fence 9"},
+		"other service":             {func(beat *Beat) { beat.Service = "other" }, fault.InvalidArgument, "service"},
+		"outdated sequence":         {func(beat *Beat) { beat.Sequence = 1 }, fault.Conflict, "sequence"},
+	}
+	for name, test := range cases {
+		s := newScriptWithLayout(t)
 		before := s.view.Revision()
-		if _, err := s.beat("a", c.change); !fault.Is(err, c.kind) || !strings.Contains(err.Error(), c.names) {
-			t.Errorf("%s: error %v, want %s that names %q", name, err, c.kind, c.names)
+		if _, err := s.beat("a", test.change); !fault.Is(err, test.kind) || !strings.Contains(err.Error(), test.detail) {
+			t.Errorf("%s: error %v, want kind %s and a detail with %q", name, err, test.kind, test.detail)
 		}
 		if s.view.Revision() != before {
 			t.Errorf("%s: the directory changed", name)
 		}
 	}
-	s := founded(t)
+	s := newScriptWithLayout(t)
 	_, err := s.beat("thief", func(beat *Beat) { beat.Service, beat.Address = "other", "address-a" })
 	if !fault.Is(err, fault.InvalidArgument) {
-		t.Errorf("the address of a live instance of another service: %v", err)
+		t.Errorf("heartbeat at the address of a live instance of another service: error %v", err)
 	}
 }
 
-// TestRowsThatAreStillWorkedOn: an instance whose rows were joined or cut tells the old
-// one beside the new one until its work on it is done. Such heartbeats were refused as
-// overlapping, and the instance lost all its keys.
+// TestRowsThatAreStillWorkedOn guards against rejecting a heartbeat with nested ranges. An instance whose
+// ranges were merged or split reports the old range beside the new one until its requests are done. Such
+// heartbeats were rejected as overlapping, and the instance lost all its keys.
 func TestRowsThatAreStillWorkedOn(t *testing.T) {
-	s := founded(t)
+	s := newScriptWithLayout(t)
 	grant, err := s.beat("a", func(beat *Beat) {
 		holding(0, half-1, 1)(beat)
 		holding(0, 99, 1)(beat)
@@ -139,14 +141,14 @@
 	}
 }
 
-// TestKeysOfALostInstancePassOnAfterItsLease: not before its lease has surely ended,
-// with a higher fence and without a handover; after a change of leader a whole lease
-// later.
+// TestKeysOfALostInstancePassOnAfterItsLease checks that keys of a lost instance are reassigned only after
+// its lease has certainly expired, with a higher fence and without a handover; after a change of leader, a
+// whole lease later.
 func TestKeysOfALostInstancePassOnAfterItsLease(t *testing.T) {
-	const surely = 3*time.Second*102/100 + 50*time.Millisecond
-	s := founded(t)
+	const longestLease = 3*time.Second*102/100 + 50*time.Millisecond
+	s := newScriptWithLayout(t)
 	lastBeat := s.now
-	keep := func() Grant {
+	renewB := func() Grant {
 		t.Helper()
 		grant, err := s.beat("b", holding(half, directory.MaxKey, 1))
 		if err != nil {
@@ -154,68 +156,67 @@
 		}
 		return grant
 	}
-	for s.now < lastBeat+surely {
+	for s.now < lastBeat+longestLease {
 		s.tick(100 * time.Millisecond)
-		if s.now <= lastBeat+surely && len(keep().Holdings) != 1 {
-			t.Fatalf("keys passed on %s after the last heartbeat", s.now-lastBeat)
+		if s.now <= lastBeat+longestLease && len(renewB().Holdings) != 1 {
+			t.Fatalf("keys reassigned %s after the last heartbeat", s.now-lastBeat)
 		}
 	}
 	s.tick(100 * time.Millisecond)
-	for _, got := range keep().Holdings {
+	for _, got := range renewB().Holdings {
 		if got.First < half && (got.Fence < 2 || got.Handover != "") {
-			t.Errorf("passed on as %+v", got)
+			t.Errorf("reassigned as %+v, want a higher fence and no handover", got)
 		}
 	}
 	if lost, _ := s.view.Instance("a"); lost.State != directory.InstanceSilent {
-		t.Errorf("the lost instance is %s", lost.State)
-	}
-	again := founded(t)
-	again.core.Lead(again.now)
-	elected := again.now
-	for again.now < elected+surely-100*time.Millisecond {
-		again.tick(100 * time.Millisecond)
-		if _, err := again.beat("b", holding(half, directory.MaxKey, 1)); err != nil {
+		t.Errorf("the lost instance is %s, want silent", lost.State)
+	}
+	restarted := newScriptWithLayout(t)
+	restarted.core.Lead(restarted.now)
+	electedAt := restarted.now
+	for restarted.now < electedAt+longestLease-100*time.Millisecond {
+		restarted.tick(100 * time.Millisecond)
+		if _, err := restarted.beat("b", holding(half, directory.MaxKey, 1)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if held, _ := again.view.Layout("s").At(0); held.Owner != "a" {
-		t.Errorf("a new leader gave keys on before it had waited out a lease: %+v", held)
+	if held, _ := restarted.view.Layout("s").At(0); held.Owner != "a" {
+		t.Errorf("a new leader reassigned keys before a lease had passed: %+v", held)
 	}
 }
 
-// TestLeavingInstanceHandsOver: its keys go in steps, with what it left, and all of
-// them are with others soon.
+// TestLeavingInstanceHandsOver checks that the keys of a draining instance are moved in steps, with the
+// handover that it left, and that others hold all of them soon.
 func TestLeavingInstanceHandsOver(t *testing.T) {
-	s := founded(t)
-	leaves := func(beat *Beat) { beat.Draining = true }
-	if _, err := s.beat("a", func(beat *Beat) { leaves(beat); holding(0, half-1, 1)(beat) }); err != nil {
+	s := newScriptWithLayout(t)
+	setDraining := func(beat *Beat) { beat.Draining = true }
+	if _, err := s.beat("a", func(beat *Beat) { setDraining(beat); holding(0, half-1, 1)(beat) }); err != nil {
 		t.Fatal(err)
 	}
 	if left, _ := s.view.Instance("a"); left.State != directory.InstanceDraining {
-		t.Errorf("state %s", left.State)
+		t.Errorf("the draining instance is %s", left.State)
 	}
-	s.now += drainSpread
-	grant, err := s.beat("a", func(beat *Beat) { leaves(beat); holding(0, half-1, 1)(beat) })
+	s.now += drainDuration
+	grant, err := s.beat("a", func(beat *Beat) { setDraining(beat); holding(0, half-1, 1)(beat) })
 	if err != nil || len(grant.Holdings) != 0 {
-		t.Errorf("at the end of the drain it is granted %+v, %v", grant, err)
+		t.Errorf("granted %+v, %v at the end of the drain", grant, err)
 	}
 	if _, err := s.beat("a", func(beat *Beat) {
-		leaves(beat)
+		setDraining(beat)
 		beat.Released = []Released{{Range: Range{First: 0, Last: half - 1}, Handover: "token"}}
 	}); err != nil {
 		t.Fatal(err)
 	}
 	taken, err := s.beat("b", holding(half, directory.MaxKey, 1))
 	if err != nil || len(taken.Holdings) != 2 || taken.Holdings[0].Handover != "token" || taken.Holdings[0].Fence != 2 {
-		t.Errorf("the other one gets %+v, %v", taken, err)
+		t.Errorf("the remaining instance is granted %+v, %v", taken, err)
 	}
 }
 
-// TestNewcomerGetsKeys: an instance that joins while none is busy gets some of the keys
-// that are asked for, once it is warm. It got none, and served nobody for as long as it
-// lived.
+// TestNewcomerGetsKeys checks that an instance that joins while no other is busy gets some of the keys that
+// receive requests, once it is warm. Such an instance used to get none, and served no requests at all.
 func TestNewcomerGetsKeys(t *testing.T) {
-	s := founded(t)
+	s := newScriptWithLayout(t)
 	s.core.config.MaxMoves = 4
 	ids := []directory.InstanceID{"a", "b", "c"}
 	for round := range 8 {
@@ -240,21 +241,20 @@
 		}
 	}
 	if rate <= 0 {
-		t.Error("the newcomer holds no keys that are asked for")
+		t.Error("the new instance holds no keys that receive requests")
 	}
 }
 
-// TestOldHeartbeatAfterAChangeOfLeader: one that was sent before others, and comes to a
-// leader that has not heard of the instance yet, takes nothing back: the instance goes
-// on draining, and keys that are being taken from it are not free.
+// TestOldHeartbeatAfterAChangeOfLeader checks that a delayed heartbeat reverts nothing at a leader that has
+// not heard of the instance yet: the instance stays draining, and its revoked keys are not freed.
 func TestOldHeartbeatAfterAChangeOfLeader(t *testing.T) {
-	s := founded(t)
-	leaves := func(beat *Beat) { beat.Draining = true; holding(0, half-1, 1)(beat) }
-	if _, err := s.beat("a", leaves); err != nil {
+	s := newScriptWithLayout(t)
+	drainingBeat := func(beat *Beat) { beat.Draining = true; holding(0, half-1, 1)(beat) }
+	if _, err := s.beat("a", drainingBeat); err != nil {
 		t.Fatal(err)
 	}
-	s.now += drainSpread
-	if _, err := s.beat("a", leaves); err != nil {
+	s.now += drainDuration
+	if _, err := s.beat("a", drainingBeat); err != nil {
 		t.Fatal(err)
 	}
 	if held, _ := s.view.Layout("s").At(0); !held.Revoked || held.Owner != "a" {
@@ -267,61 +267,60 @@
 		t.Fatal(err)
 	}
 	if instance, _ := s.view.Instance("a"); instance.State != directory.InstanceDraining {
-		t.Errorf("the instance is %s again", instance.State)
+		t.Errorf("the draining instance is %s after a delayed heartbeat", instance.State)
 	}
 	if held, _ := s.view.Layout("s").At(0); held.Owner != "a" {
-		t.Errorf("its keys are free: %+v", held)
+		t.Errorf("its keys were freed by a delayed heartbeat: %+v", held)
 	}
 	s.sequence["a"] = newest
 	if _, err := s.beat("a", func(beat *Beat) { beat.Draining = true }); err != nil {
 		t.Fatal(err)
 	}
 	if held, _ := s.view.Layout("s").At(0); held.Owner == "a" {
-		t.Errorf("its keys are not free though it let them go: %+v", held)
+		t.Errorf("its keys were not freed although it released them: %+v", held)
 	}
 }
 
-// TestNewLeaderSharesAmongAll: keys that are free soon after a change of leader are given
-// to all instances that live, not only to those whose heartbeat came first. One of them got
-// hundreds of ranges, more than an answer holds, and lost all its keys.
+// TestNewLeaderSharesAmongAll checks that keys that become free soon after a change of leader are assigned
+// to all live instances, not only to those whose heartbeats arrived first. One of these got hundreds of
+// ranges, more than fit an answer, and lost all its keys.
 func TestNewLeaderSharesAmongAll(t *testing.T) {
 	s := newScript(t)
 	s.core.config.Stripes = 8
 	ids := []directory.InstanceID{"a", "b", "c", "d"}
-	round := func(ids ...directory.InstanceID) {
+	beatAll := func(ids ...directory.InstanceID) {
 		for _, id := range ids {
 			beatWithHoldings(t, s, id)
 		}
 	}
-	round(ids...)
+	beatAll(ids...)
 	s.tick(time.Second)
-	round(ids...)
+	beatAll(ids...)
 	s.core.Lead(s.now)
-	round("a")
+	beatAll("a")
 	atAddressOfD := func(beat *Beat) { beat.Address, beat.Service = "address-d", "other" }
 	if _, err := s.beat("x", atAddressOfD); !errors.Is(err, ErrProvisional) {
 		t.Fatal(err)
 	}
-	s.now += strangerTime
+	s.now += provisionalTime
 	if _, err := s.beat("x", atAddressOfD); err != nil {
 		t.Fatal(err)
 	}
 	s.tick(100 * time.Millisecond)
-	rows := make(map[directory.InstanceID]int)
+	rangeCounts := make(map[directory.InstanceID]int)
 	for _, holding := range s.view.Layout("s").Holdings {
-		rows[holding.Owner]++
+		rangeCounts[holding.Owner]++
 	}
-	if rows["d"] != 0 || rows["b"] <= 8 || rows["c"] <= 8 {
-		t.Errorf("ranges by instance: %v", rows)
+	if rangeCounts["d"] != 0 || rangeCounts["b"] <= 8 || rangeCounts["c"] <= 8 {
+		t.Errorf("ranges by instance: %v", rangeCounts)
 	}
 }
 
-// TestReturnedInstanceWaitsForItsBatch: a batch that passes on the keys of an instance, since its
-// lease has ended, may take a heartbeat of that instance as well. While the batch is not applied
-// the next heartbeat must not be answered from the state before it: two instances would hold the
-// keys.
+// TestReturnedInstanceWaitsForItsBatch guards against two holders of a key. A batch that reassigns the keys
+// of an instance whose lease has expired may contain a heartbeat of that instance as well. Until the batch
+// is applied, the next heartbeat must not be answered from the state before it.
 func TestReturnedInstanceWaitsForItsBatch(t *testing.T) {
-	l := newLives(t)
+	l := newIncarnationScript(t)
 	for _, server := range []string{"a", "b"} {
 		address := "127.0.0.1:" + map[string]string{"a": "1", "b": "2"}[server]
 		if err := l.beatAt(address, 2*time.Second, server, 0, 1); err != nil {
@@ -329,8 +328,8 @@
 		}
 	}
 	l.apply(l.core.Tick(2100*time.Millisecond, l.view))
-	if l.held("a") == 0 {
-		t.Fatal("a holds nothing")
+	if l.ownedRanges("a") == 0 {
+		t.Fatal("instance a holds no keys")
 	}
 	for server, address := range map[string]string{"a": "127.0.0.1:1", "b": "127.0.0.1:2"} {
 		if err := l.beatAt(address, 2200*time.Millisecond, server, 0, 2); err != nil {
@@ -350,10 +349,10 @@
 	commands := batch.Commands()
 	beat.Sequence = 4
 	if l.core.Renew(late+200*time.Millisecond, beat, l.view) {
-		t.Error("the next heartbeat is answered before the batch that passes on the keys is applied")
+		t.Error("Renew accepted a heartbeat before the batch that reassigns the keys is applied")
 	}
 	l.apply(commands)
 	if grant := l.core.Answer("a", l.view); len(grant.Holdings) != 0 {
-		t.Errorf("keys that passed on are granted: %+v", grant.Holdings)
+		t.Errorf("reassigned keys are granted: %+v", grant.Holdings)
 	}
 }
--- a/internal/heartbeat/demand_test.go
+++ b/internal/heartbeat/demand_test.go
@@ -10,58 +10,58 @@
 	"github.com/thorntiller/thorntiller/internal/directory"
 )
 
-// TestRatesAgreeWithSums: of ranges, after decays that weigh the values anew.
+// TestRatesAgreeWithSums compares the rates of ranges with plain sums, also after the values were rescaled.
 func TestRatesAgreeWithSums(t *testing.T) {
 	random := rand.New(rand.NewPCG(7, 7))
-	plain := make(map[directory.Key]float64)
+	expected := make(map[directory.Key]float64)
 	rates := newKeyRates(0, demandWindow)
 	now := time.Duration(0)
 	for range 400 {
 		elapsed := time.Duration(random.IntN(400)) * time.Millisecond
 		now += elapsed
 		rates.advance(now)
-		for key := range plain {
-			plain[key] *= math.Exp(-elapsed.Seconds() / demandWindow.Seconds())
+		for key := range expected {
+			expected[key] *= math.Exp(-elapsed.Seconds() / demandWindow.Seconds())
 		}
 		key := directory.Key(random.IntN(200) * 327)
 		rates.count(key, 3*demandWindow.Seconds())
-		plain[key] += 3
-		first := directory.Key(random.IntN(keys))
-		last := first + directory.Key(random.IntN(keys-int(first)))
+		expected[key] += 3
+		first := directory.Key(random.IntN(keyCount))
+		last := first + directory.Key(random.IntN(keyCount-int(first)))
 		want := 0.0
-		for key, rate := range plain {
+		for key, rate := range expected {
 			if first <= key && key <= last {
 				want += rate
 			}
 		}
 		if got := rates.between(first, last); math.Abs(got-want) > 1e-6 {
-			t.Fatalf("at %s keys %d to %d have %f, want %f", now, first, last, got, want)
+			t.Fatalf("at %s keys %d to %d have rate %f, want %f", now, first, last, got, want)
 		}
 	}
 }
 
-// TestWidestRanges: as wide as the rate allows, from either end.
+// TestWidestRanges checks that ranges from either end are as wide as the rate allows.
 func TestWidestRanges(t *testing.T) {
 	rates := newKeyRates(0, demandWindow)
 	for _, key := range []directory.Key{10, 20, 30} {
 		rates.count(key, demandWindow.Seconds())
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		rate        float64
 		front, back directory.Key
 	}{{0, 9, 31}, {1, 19, 21}, {2.5, 29, 11}, {3, 40, 0}} {
-		if front := rates.widestFrom(0, 40, c.rate); front != c.front {
-			t.Errorf("rate %v: the range from 0 ends at %d, want %d", c.rate, front, c.front)
+		if front := rates.widestFrom(0, 40, test.rate); front != test.front {
+			t.Errorf("rate %v: the widest range from 0 ends at %d, want %d", test.rate, front, test.front)
 		}
-		if back := rates.widestTo(0, 40, c.rate); back != c.back {
-			t.Errorf("rate %v: the range to 40 begins at %d, want %d", c.rate, back, c.back)
+		if back := rates.widestTo(0, 40, test.rate); back != test.back {
+			t.Errorf("rate %v: the widest range to 40 starts at %d, want %d", test.rate, back, test.back)
 		}
 	}
 }
 
-// TestHotKeysSideBySideAreSpread: 64 neighbouring keys that only 16 instances together
-// can serve are spread over them within three heartbeats of each. With demand counted by buckets
-// of 16 keys, and 16 moves at a time, four instances got them all.
+// TestHotKeysSideBySideAreSpread checks that 64 adjacent hot keys, which take 16 instances to serve, are
+// spread within three heartbeats of each after the first layout was granted. With demand counted in buckets
+// of 16 keys, and 16 moves at a time, four instances got all of them.
 func TestHotKeysSideBySideAreSpread(t *testing.T) {
 	const instances, hotKeys, interval = 40, 64, time.Second
 	s := newScript(t)
@@ -81,25 +81,25 @@
 	for range 6 {
 		round()
 	}
-	busiest, rate := directory.InstanceID(""), 0
-	load := make(map[directory.InstanceID]int)
+	busiest, maxHotKeys := directory.InstanceID(""), 0
+	hotKeysByOwner := make(map[directory.InstanceID]int)
 	for key := range directory.Key(hotKeys) {
 		if holding, found := s.view.Layout("s").At(key); found && holding.Granted && !holding.Revoked {
-			load[holding.Owner]++
+			hotKeysByOwner[holding.Owner]++
 		}
 	}
-	for id, keys := range load {
-		if keys > rate {
-			busiest, rate = id, keys
+	for id, keys := range hotKeysByOwner {
+		if keys > maxHotKeys {
+			busiest, maxHotKeys = id, keys
 		}
 	}
-	if rate > 6 || len(load) < 14 {
-		t.Errorf("%d instances hold the hot keys, %s holds %d of them", len(load), busiest, rate)
+	if maxHotKeys > 6 || len(hotKeysByOwner) < 14 {
+		t.Errorf("%d instances hold the hot keys, %s holds %d of them", len(hotKeysByOwner), busiest, maxHotKeys)
 	}
 }
 
-// countHotKeys tells of 5 requests a second for each of the first keys, for a fortieth
-// of a second.
+// countHotKeys reports the demand of a fortieth of a second, at 5 requests per second for each of the first
+// hotKeys keys.
 func (s *script) countHotKeys(hotKeys int, ids []directory.InstanceID) {
 	report := Report{Service: "s"}
 	for key := range uint16(hotKeys) {
@@ -113,10 +113,10 @@
 	s.core.Count(s.now, report)
 }
 
-// answeredRows is the number of rows that fit an answer of 4 KiB.
-const answeredRows = 165
+// maxAnswerRanges is the number of ranges that fit an answer of 4 KiB.
+const maxAnswerRanges = 165
 
-// beatWithHoldings sends a heartbeat that tells what the last answer granted.
+// beatWithHoldings sends a heartbeat that reports the keys granted by the last answer.
 func beatWithHoldings(t testing.TB, s *script, id directory.InstanceID) {
 	t.Helper()
 	grant, err := s.beat(id, func(beat *Beat) {
@@ -130,14 +130,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if rows := len(grant.Holdings); rows > answeredRows {
-		t.Fatalf("at %s %s is granted %d rows, the bound is %d", s.now, id, rows, answeredRows)
+	if count := len(grant.Holdings); count > maxAnswerRanges {
+		t.Fatalf("at %s %s is granted %d ranges, the bound is %d", s.now, id, count, maxAnswerRanges)
 	}
 }
 
-// TestRowsStayBoundedWhileHotKeysChange: hot keys that change cut rows into parts, and the
-// rows of instances that were lost come on top; an answer must hold all that an
-// instance has. Beyond that instances took no answer any more, and lost all their keys.
+// TestRowsStayBoundedWhileHotKeysChange checks that an answer can always hold all ranges of an instance,
+// while changing hot keys split ranges and lost instances add theirs. Beyond the bound, instances
+// accepted no answer any more and lost all their keys.
 func TestRowsStayBoundedWhileHotKeysChange(t *testing.T) {
 	s := newScript(t)
 	s.core.config.MaxMoves, s.core.config.Stripes = 16, 110
@@ -153,8 +153,8 @@
 			for _, key := range hot {
 				report.Keys, report.Counts = append(report.Keys, key), append(report.Counts, uint16(random.IntN(3)))
 			}
-			for _, each := range ids {
-				report.Instances = append(report.Instances, InstanceReport{ID: each, Answered: 1, BusyMs: 60})
+			for _, other := range ids {
+				report.Instances = append(report.Instances, InstanceReport{ID: other, Answered: 1, BusyMs: 60})
 			}
 			s.core.Count(s.now, report)
 			beatWithHoldings(t, s, id)
@@ -167,7 +167,7 @@
 		}
 		var hot []uint16
 		for range 20 {
-			hot = append(hot, uint16(random.IntN(keys)))
+			hot = append(hot, uint16(random.IntN(keyCount)))
 		}
 		round(hot)
 	}
--- a/internal/heartbeat/doc.go
+++ b/internal/heartbeat/doc.go
@@ -1,17 +1,17 @@
-// Package heartbeat decides, on the leading controller, about the leases that
-// instances renew by their own heartbeats: what a heartbeat changes in the
-// directory, which keys its answer grants, when an instance that fell silent holds
-// nothing any more, and who gets its keys. It is a pure core: it reads no clock and
+// Package heartbeat makes the decisions of the leading controller on the leases that
+// instances renew by heartbeats: how a heartbeat changes the directory, which keys its
+// answer grants, when a silent instance has certainly lost its keys, and which
+// instances get them. It contains only the decision logic: it reads no clock and
 // performs no I/O.
 //
-// A lease counts from the sending of the heartbeat that it answers. The process
-// answers only after a quorum round that began after the heartbeat came, so that a
-// leader that was deposed extends no lease which its successor has waited out.
+// A lease is counted from the time at which the instance sent the heartbeat. The process
+// answers only after a quorum round that started after the heartbeat was received, so that
+// a deposed leader cannot extend a lease that its successor has already waited out.
 //
 // Invariants:
-//   - keys pass to another instance only when their owner said in a heartbeat that
-//     it does not hold them, sent after the last answer that granted them; or when
-//     its last lease has surely ended; or when its process has ended, as another
-//     instance answers at its address;
-//   - keys that are being taken away are granted in no later answer.
+//   - keys are reassigned only after their owner reported, in a heartbeat sent after the
+//     last answer that granted them, that it does not hold them; or after its last lease
+//     has certainly expired; or after its process has ended, since another instance
+//     answers at its address or its server started again;
+//   - revoked keys are not granted in any later answer.
 package heartbeat
--- a/internal/heartbeat/draft.go
+++ b/internal/heartbeat/draft.go
@@ -11,16 +11,16 @@
 type candidate struct {
 	id    directory.InstanceID
 	slots int
-	// keys and rows count the keys that it holds or is about to get, and their ranges.
-	keys int
-	rows int
-	// awaited counts the ranges that are being moved to it.
-	awaited int
-	warm    bool
-	// rate is the demand for its keys in requests a second, and surely the part of it
-	// that is not chance, when the draft was begun.
-	rate   float64
-	surely float64
+	// keyCount and rangeCount are the numbers of keys and ranges that it owns, without revoked ones.
+	keyCount   int
+	rangeCount int
+	// incoming is the number of ranges that are being moved to it.
+	incoming int
+	warm     bool
+	// rate is the demand for its keys in requests per second. rateLowerBound is the part of it that is
+	// statistically significant, as of measureDemand.
+	rate           float64
+	rateLowerBound float64
 }
 
 // draft is the next layout of one service.
@@ -28,52 +28,52 @@
 	core *Core
 	now  time.Duration
 	view *directory.Directory
-	// before is the layout in force, and layout the next one.
+	// before is the current layout, and layout the next one.
 	before  directory.Layout
 	layout  directory.Layout
 	changed bool
-	// owned are the holdings of each instance in the layout in force. They are those of the
-	// draft, too, for all instances that are not in touched.
-	owned   map[directory.InstanceID][]directory.Holding
-	touched map[directory.InstanceID]bool
-	// free counts the holdings without an owner, and moving those and the revoked ones.
-	free   int
-	moving int
-	// walks counts how often all holdings were looked at. A heartbeat that concerns its own
-	// instance alone must not add to it: with 5,800 instances, 118 heartbeats that each walked
-	// through the layout and copied it held the leader up for 1.1 s.
-	walks int
-	// measured is true once the rates of the candidates are known; they are kept up
-	// to date from then on. total is their sum, and busy the share of its slots from which
-	// on an instance gives keys away.
-	measured bool
-	total    float64
-	busy     float64
-	// newcomers may hold no keys; those that got some are dropped when they are met.
-	newcomers  []*candidate
-	candidates []*candidate
-	byID       map[directory.InstanceID]*candidate
+	// owned are the holdings of each instance in the current layout. They are the same in the draft,
+	// except for the instances in modified.
+	owned    map[directory.InstanceID][]directory.Holding
+	modified map[directory.InstanceID]bool
+	// unowned is the number of holdings without an owner; moving includes the revoked ones as well.
+	unowned int
+	moving  int
+	// layoutScans is the number of scans over all holdings. A heartbeat that concerns only its own
+	// instance must not cause any: with 5,800 instances, 118 heartbeats that each scanned and copied
+	// the layout blocked the leader for 1.1 s.
+	layoutScans int
+	// demandMeasured is true once the rates of the candidates are known; they are kept up to date
+	// from then on. totalRate is their sum. busyThreshold is the utilisation from which on an
+	// instance gives keys away.
+	demandMeasured bool
+	totalRate      float64
+	busyThreshold  float64
+	// emptyCandidates may include candidates that got keys meanwhile; nextEmptyCandidate drops those.
+	emptyCandidates []*candidate
+	candidates      []*candidate
+	byID            map[directory.InstanceID]*candidate
 }
 
-// draft begins the next layout of a service with the one in force.
+// draft starts the next layout of a service from the current one.
 func (c *Core) draft(now time.Duration, service string, view *directory.Directory) *draft {
 	d := &draft{
 		core: c, now: now, view: view, before: view.Layout(service),
-		touched: make(map[directory.InstanceID]bool), byID: make(map[directory.InstanceID]*candidate),
+		modified: make(map[directory.InstanceID]bool), byID: make(map[directory.InstanceID]*candidate),
 	}
 	index := c.index(service, view)
-	d.owned, d.free, d.moving = index.owned, index.free, index.moving
+	d.owned, d.unowned, d.moving = index.owned, index.unowned, index.moving
 	d.layout = d.before
 	d.layout.Holdings = slices.Clone(d.before.Holdings)
 	d.addCandidates()
 	return d
 }
 
-// addCandidates adds the instances that may get keys, with what they hold.
+// addCandidates adds the instances that may get keys, with the numbers of keys they own.
 func (d *draft) addCandidates() {
 	for instance := range d.view.EachInstance() {
 		ready := instance.Service == d.layout.Service && instance.State == directory.InstanceReady
-		if !ready || !d.core.lives(d.now, instance.ID) || d.view.Evacuated(instance.Zone) {
+		if !ready || !d.core.heardRecently(d.now, instance.ID) || d.view.Evacuated(instance.Zone) {
 			continue
 		}
 		added := &candidate{id: instance.ID, slots: max(instance.Slots, 1), warm: d.core.warm(d.now, instance.ID)}
@@ -82,32 +82,32 @@
 	}
 	for _, holding := range d.layout.Holdings {
 		if owner := d.candidate(holding.Owner); owner != nil && !holding.Revoked {
-			owner.keys += holding.Width()
-			owner.rows++
+			owner.keyCount += holding.Width()
+			owner.rangeCount++
 		}
 	}
 }
 
-// lives reports whether an instance was heard of late. A new leader has heard nobody: it
-// takes all for alive until they had the time for a heartbeat, lest those whose
-// heartbeat comes first get everything.
-func (c *Core) lives(now time.Duration, id directory.InstanceID) bool {
-	heardAt := c.leadSince
-	if known, met := c.contacts[id]; met {
-		heardAt = known.beatAt
+// heardRecently reports whether the last heartbeat of an instance is recent enough to assign keys to
+// it. A new leader, which has not received any, counts all instances as alive until they had time to
+// send one; otherwise the instances whose heartbeats arrive first would get all keys.
+func (c *Core) heardRecently(now time.Duration, id directory.InstanceID) bool {
+	lastHeard := c.leadSince
+	if state, tracked := c.heartbeats[id]; tracked {
+		lastHeard = state.receivedAt
 	}
-	return now-heardAt <= c.config.recent()
+	return now-lastHeard <= c.config.livenessTimeout()
 }
 
-// warm reports whether an instance is not slow from its start any more.
+// warm reports whether the warm-up of an instance is over.
 func (c *Core) warm(now time.Duration, id directory.InstanceID) bool {
-	known, met := c.contacts[id]
-	return !met || now >= known.warmAt
+	state, tracked := c.heartbeats[id]
+	return !tracked || now >= state.warmAt
 }
 
 func (d *draft) candidate(id directory.InstanceID) *candidate { return d.byID[id] }
 
-// commands returns the command that puts the draft in force, if it changed.
+// commands returns the command that puts the draft into effect, or none if it changes nothing.
 func (d *draft) commands() []directory.Command {
 	if !d.changed {
 		return nil
@@ -125,8 +125,8 @@
 	return []directory.Command{{Layout: &command}}
 }
 
-// mayHave reports whether an instance has a holding of a kind, or may have one: those of an
-// instance that the draft has touched are not looked at.
-func (d *draft) mayHave(id directory.InstanceID, kind func(directory.Holding) bool) bool {
-	return d.touched[id] || slices.ContainsFunc(d.owned[id], kind)
+// mayHaveHolding reports whether an instance has, or may have, a holding that matches. It is a cheap
+// check without a scan of the layout, so it returns true for all instances that the draft modified.
+func (d *draft) mayHaveHolding(id directory.InstanceID, kind func(directory.Holding) bool) bool {
+	return d.modified[id] || slices.ContainsFunc(d.owned[id], kind)
 }
--- a/internal/heartbeat/drain.go
+++ b/internal/heartbeat/drain.go
@@ -7,49 +7,50 @@
 	"github.com/thorntiller/thorntiller/internal/directory"
 )
 
-// drainSpread is how long the keys of an instance that leaves are taken away. While
-// it lets some go it sends a heartbeat each releaseTime, so that each time those keys
-// are taken whose next holder will be told soon; the others are served meanwhile.
-const drainSpread = 900 * time.Millisecond
+// drainDuration is the time over which keys are revoked from an instance that leaves. Such an instance
+// sends a heartbeat every releaseTime while it releases keys. Each heartbeat revokes a part of the
+// keys and moves them to instances that learn of them soon; the remaining keys are served meanwhile.
+const drainDuration = 900 * time.Millisecond
 
-// drain takes a part of the keys of an instance that has said for a while that it
-// leaves, if others can take them, and all of them in the end.
-func (d *draft) drain(id directory.InstanceID, since time.Duration) {
-	if each := d.candidate(id); each != nil {
-		d.total -= each.rate
+// drain revokes a part of the keys of an instance that has been draining for a given time, and all of
+// them at the end of drainDuration. It revokes none if no other instance can take them.
+func (d *draft) drain(id directory.InstanceID, drainingFor time.Duration) {
+	if candidate := d.candidate(id); candidate != nil {
+		d.totalRate -= candidate.rate
 	}
-	d.candidates = slices.DeleteFunc(d.candidates, func(each *candidate) bool { return each.id == id })
+	d.candidates = slices.DeleteFunc(d.candidates, func(candidate *candidate) bool { return candidate.id == id })
 	delete(d.byID, id)
 	if len(d.candidates) == 0 {
 		return
 	}
-	if !d.mayHave(id, func(holding directory.Holding) bool { return !holding.Revoked }) {
+	if !d.mayHaveHolding(id, func(holding directory.Holding) bool { return !holding.Revoked }) {
 		return
 	}
-	d.walks++
-	var left []int
+	d.layoutScans++
+	var remaining []int
 	for index, holding := range d.layout.Holdings {
 		if holding.Owner == id && !holding.Revoked {
-			left = append(left, index)
+			remaining = append(remaining, index)
 		}
 	}
-	beats := max(1, int((drainSpread-since)/releaseTime))
-	d.measure()
+	heartbeatsLeft := max(1, int((drainDuration-drainingFor)/releaseTime))
+	d.measureDemand()
 	leaving := &candidate{id: id, slots: 1}
-	for _, index := range left[:(len(left)+beats-1)/beats] {
-		d.drainOne(index, leaving)
+	for _, index := range remaining[:(len(remaining)+heartbeatsLeft-1)/heartbeatsLeft] {
+		d.revokeForDrain(index, leaving)
 	}
 }
 
-func (d *draft) drainOne(index int, leaving *candidate) {
+// revokeForDrain revokes a holding of an instance that leaves, and chooses its next owner.
+func (d *draft) revokeForDrain(index int, leaving *candidate) {
 	holding := &d.layout.Holdings[index]
 	holding.Revoked = true
-	d.touched[holding.Owner] = true
+	d.modified[holding.Owner] = true
 	d.moving++
 	d.changed = true
 	if target := d.bestTarget(leaving, nil); target != nil {
 		d.core.setTarget(d.layout.Service, holding.First, target.id)
 		target.rate += d.demand().rate(holding.First, holding.Last)
-		target.awaited++
+		target.incoming++
 	}
 }
--- a/internal/heartbeat/evacuate.go
+++ b/internal/heartbeat/evacuate.go
@@ -6,13 +6,12 @@
 	"github.com/thorntiller/thorntiller/internal/directory"
 )
 
-// The keys of an evacuated zone are taken from their holders like those of instances that
-// leave, a part at a time, while the others are served. They do not wait for the next
-// heartbeats of their holders.
+// Keys are revoked from the holders in an evacuated zone as from draining instances: in parts, while
+// the remaining keys are served, but without waiting for the next heartbeats of the holders.
 
-// leavesZone reports whether an instance of an evacuated zone holds keys that are still to
-// be taken away.
-func (c *Core) leavesZone(id directory.InstanceID, index *index, view *directory.Directory) bool {
+// hasKeysToEvacuate reports whether an instance of an evacuated zone owns keys that are not revoked
+// yet.
+func (c *Core) hasKeysToEvacuate(id directory.InstanceID, index *index, view *directory.Directory) bool {
 	instance, found := view.Instance(id)
 	if !found || !view.Evacuated(instance.Zone) {
 		return false
@@ -20,17 +19,17 @@
 	return slices.ContainsFunc(index.owned[id], func(holding directory.Holding) bool { return !holding.Revoked })
 }
 
-// drainEvacuated takes keys from the holders in evacuated zones.
+// drainEvacuated revokes keys from the holders in evacuated zones.
 func (d *draft) drainEvacuated() {
 	index := d.core.index(d.layout.Service, d.view)
 	owners := make([]directory.InstanceID, 0, len(index.owned))
 	for owner := range index.owned {
-		if known, met := d.core.contacts[owner]; met && known.inSequence && d.core.leavesZone(owner, index, d.view) {
+		if state, tracked := d.core.heartbeats[owner]; tracked && state.inSequence && d.core.hasKeysToEvacuate(owner, index, d.view) {
 			owners = append(owners, owner)
 		}
 	}
 	slices.Sort(owners)
 	for _, owner := range owners {
-		d.drain(owner, d.core.contacts[owner].drains(d.now))
+		d.drain(owner, d.core.heartbeats[owner].drainingFor(d.now))
 	}
 }
--- a/internal/heartbeat/evacuate_test.go
+++ b/internal/heartbeat/evacuate_test.go
@@ -7,8 +7,8 @@
 	"github.com/thorntiller/thorntiller/internal/directory"
 )
 
-// inZone puts a heartbeat into a zone, with what the instance holds by the directory.
-func (s *script) inZone(id directory.InstanceID, zone string) (Grant, error) {
+// beatInZone sends a heartbeat from an instance in a zone, with the holdings that the directory lists.
+func (s *script) beatInZone(id directory.InstanceID, zone string) (Grant, error) {
 	return s.beat(id, func(beat *Beat) {
 		beat.Zone = zone
 		for _, held := range s.view.Layout("s").Holdings {
@@ -19,25 +19,26 @@
 	})
 }
 
-// zoned returns a script with an instance in each of two zones, each of which holds keys.
-func zoned(t *testing.T) *script {
+// newZonedScript returns a script with one instance in each of two zones, both of which hold keys.
+func newZonedScript(t *testing.T) *script {
 	t.Helper()
 	s := newScript(t)
-	beats := func() {
+	beatBoth := func() {
 		for id, zone := range map[directory.InstanceID]string{"a": "west", "b": "east"} {
-			if _, err := s.inZone(id, zone); err != nil {
+			if _, err := s.beatInZone(id, zone); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	beats()
+	beatBoth()
 	s.tick(time.Second)
-	beats()
-	beats()
+	beatBoth()
+	beatBoth()
 	return s
 }
 
-func (s *script) owned(id directory.InstanceID) int {
+// ownedKeys returns the number of keys that an instance owns.
+func (s *script) ownedKeys(id directory.InstanceID) int {
 	keys := 0
 	for _, held := range s.view.Layout("s").Holdings {
 		if held.Owner == id {
@@ -47,53 +48,53 @@
 	return keys
 }
 
-// TestKeysLeaveAnEvacuatedZone: within a few seconds, with their holder serving each of
-// them until it is taken; and none comes back until the zone is restored.
+// TestKeysLeaveAnEvacuatedZone checks that all keys leave an evacuated zone within a few seconds, and that
+// its instance gets none while the zone is evacuated.
 func TestKeysLeaveAnEvacuatedZone(t *testing.T) {
-	s := zoned(t)
-	if s.owned("a") == 0 || s.owned("b") == 0 {
-		t.Fatal("each zone must hold keys at first")
+	s := newZonedScript(t)
+	if s.ownedKeys("a") == 0 || s.ownedKeys("b") == 0 {
+		t.Fatal("an instance holds no keys before the evacuation")
 	}
 	s.apply(directory.Command{Zone: &directory.Zone{Name: "west", Evacuated: true}})
 	for range 30 {
 		s.tick(100 * time.Millisecond)
 		for id, zone := range map[directory.InstanceID]string{"a": "west", "b": "east"} {
-			if _, err := s.inZone(id, zone); err != nil {
+			if _, err := s.beatInZone(id, zone); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	if s.owned("a") != 0 || s.owned("b") != int(directory.MaxKey)+1 {
-		t.Fatalf("%d keys are left in the evacuated zone", s.owned("a"))
+	if s.ownedKeys("a") != 0 || s.ownedKeys("b") != int(directory.MaxKey)+1 {
+		t.Fatalf("%d keys remain in the evacuated zone", s.ownedKeys("a"))
 	}
 	for range 10 {
 		s.tick(100 * time.Millisecond)
-		if grant, err := s.inZone("a", "west"); err != nil || len(grant.Holdings) > 0 {
-			t.Fatalf("an instance of the evacuated zone gets %+v, %v", grant, err)
+		if grant, err := s.beatInZone("a", "west"); err != nil || len(grant.Holdings) > 0 {
+			t.Fatalf("an instance of the evacuated zone is granted %+v, %v", grant, err)
 		}
 	}
 }
 
-// TestKeysStayIfNoZoneIsLeft: they have a holder rather than none.
+// TestKeysStayIfNoZoneIsLeft checks that keys keep their holder if every zone is evacuated.
 func TestKeysStayIfNoZoneIsLeft(t *testing.T) {
-	s := zoned(t)
+	s := newZonedScript(t)
 	for _, zone := range []string{"west", "east"} {
 		s.apply(directory.Command{Zone: &directory.Zone{Name: zone, Evacuated: true}})
 	}
-	before := s.owned("a")
+	before := s.ownedKeys("a")
 	for range 20 {
 		s.tick(100 * time.Millisecond)
-		if _, err := s.inZone("a", "west"); err != nil {
+		if _, err := s.beatInZone("a", "west"); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if s.owned("a") != before {
-		t.Errorf("%d keys are left of %d", s.owned("a"), before)
+	if s.ownedKeys("a") != before {
+		t.Errorf("%d of %d keys remain with their holder", s.ownedKeys("a"), before)
 	}
 }
 
-// coldService limits the requests to cold instances of the script's service.
-func (s *script) coldService() {
+// limitColdInstances makes service "s" limit the requests to cold instances.
+func (s *script) limitColdInstances() {
 	patch, err := directory.ReadPatch([]byte(`{"set":{"services":[{"name":"s","keyed":true,"warm_up_seconds":3,"warm_up_per_second":6.7,"version":2}]}}`))
 	if err != nil {
 		s.t.Fatal(err)
@@ -103,40 +104,40 @@
 
 func warmUp(left time.Duration) func(*Beat) { return func(beat *Beat) { beat.WarmUp = left } }
 
-// TestColdInstancesAreTold: from their first heartbeat until they say that they are warm,
-// and once more when they turn cold again; what is only counted down is no news.
+// TestColdInstancesAreTold checks that the directory lists an instance as cold from its first heartbeat
+// until it reports that it is warm, and again when it turns cold; a mere count-down changes nothing.
 func TestColdInstancesAreTold(t *testing.T) {
-	s := founded(t)
-	s.coldService()
-	told := func(after, left time.Duration) directory.Instance {
+	s := newScriptWithLayout(t)
+	s.limitColdInstances()
+	beatCold := func(after, warmUpLeft time.Duration) directory.Instance {
 		t.Helper()
 		s.now += after
-		if _, err := s.beat("cold", warmUp(left)); err != nil {
+		if _, err := s.beat("cold", warmUp(warmUpLeft)); err != nil {
 			t.Fatal(err)
 		}
 		instance, _ := s.view.Instance("cold")
 		return instance
 	}
-	first := told(0, 3*time.Second)
+	first := beatCold(0, 3*time.Second)
 	if first.WarmUp != 3*time.Second || first.ColdSince == 0 {
-		t.Fatalf("told as %+v", first)
+		t.Fatalf("first heartbeat: %+v, want a warm-up of 3 s", first)
 	}
-	if next := told(time.Second, 2*time.Second); next != first {
-		t.Errorf("counting down is told as news: %+v", next)
+	if next := beatCold(time.Second, 2*time.Second); next != first {
+		t.Errorf("a mere count-down changed the directory: %+v", next)
 	}
-	if again := told(time.Second, 3*time.Second); again.ColdSince <= first.ColdSince || again.WarmUp != 3*time.Second {
-		t.Errorf("cold again is told as %+v", again)
+	if again := beatCold(time.Second, 3*time.Second); again.ColdSince <= first.ColdSince || again.WarmUp != 3*time.Second {
+		t.Errorf("cold again: %+v, want a later warm-up of 3 s", again)
 	}
-	if warm := told(time.Second, 0); warm.WarmUp != 0 || warm.ColdSince != 0 {
-		t.Errorf("warm is told as %+v", warm)
+	if warm := beatCold(time.Second, 0); warm.WarmUp != 0 || warm.ColdSince != 0 {
+		t.Errorf("warm: %+v, want no warm-up", warm)
 	}
 }
 
-// TestRestoredZoneCountsAsColdAtFirst: its instances may have turned cold since their last
-// heartbeats, until the next ones tell.
+// TestRestoredZoneCountsAsColdAtFirst checks that the instances of a restored zone count as cold until
+// their next heartbeats: they may have turned cold since the last ones.
 func TestRestoredZoneCountsAsColdAtFirst(t *testing.T) {
-	s := zoned(t)
-	s.coldService()
+	s := newZonedScript(t)
+	s.limitColdInstances()
 	s.apply(directory.Command{Zone: &directory.Zone{Name: "west", Evacuated: true}})
 	s.apply(directory.Command{Zone: &directory.Zone{Name: "west"}})
 	for id, cold := range map[directory.InstanceID]bool{"a": true, "b": false} {
@@ -144,18 +145,18 @@
 			t.Errorf("%s: %+v, want cold %v", id, instance, cold)
 		}
 	}
-	if _, err := s.inZone("a", "west"); err != nil {
+	if _, err := s.beatInZone("a", "west"); err != nil {
 		t.Fatal(err)
 	}
 	if instance, _ := s.view.Instance("a"); instance.WarmUp != 0 {
-		t.Errorf("after a heartbeat: %+v", instance)
+		t.Errorf("after a heartbeat: %+v, want no warm-up", instance)
 	}
 }
 
-// TestColdInstancesGetKeysLast: freed keys go to warm instances as long as there are any.
+// TestColdInstancesGetKeysLast checks that freed keys go to warm instances as long as there are any.
 func TestColdInstancesGetKeysLast(t *testing.T) {
-	s := founded(t)
-	s.coldService()
+	s := newScriptWithLayout(t)
+	s.limitColdInstances()
 	for _, id := range []directory.InstanceID{"c", "d"} {
 		if _, err := s.beat(id, warmUp(3*time.Second)); err != nil {
 			t.Fatal(err)
@@ -176,14 +177,14 @@
 			}
 		}
 	}
-	if s.owned("b") != int(directory.MaxKey)+1 {
-		t.Errorf("the warm instance has %d keys, cold ones %d and %d", s.owned("b"), s.owned("c"), s.owned("d"))
+	if s.ownedKeys("b") != int(directory.MaxKey)+1 {
+		t.Errorf("the warm instance owns %d keys, the cold ones %d and %d", s.ownedKeys("b"), s.ownedKeys("c"), s.ownedKeys("d"))
 	}
 }
 
-// TestGatewaysAreCounted: the number rises at once and falls only after a while.
+// TestGatewaysAreCounted checks that the number of gateways rises at once and falls only after a delay.
 func TestGatewaysAreCounted(t *testing.T) {
-	s := founded(t)
+	s := newScriptWithLayout(t)
 	for _, name := range []string{"g1", "g2", "g3", "g1"} {
 		s.core.HearGateway(s.now, name, nil)
 	}
--- a/internal/heartbeat/fleet_bench_test.go
+++ b/internal/heartbeat/fleet_bench_test.go
@@ -8,9 +8,9 @@
 	"github.com/thorntiller/thorntiller/internal/directory"
 )
 
-// fleetOf is a service of instances that hold keys with some demand each, and of a quarter as
-// many that hold none, whose answers wait for news.
-func fleetOf(tb testing.TB, instances int) (*Core, *directory.Directory, time.Duration) {
+// newFleet returns a service of instances that hold keys with some demand each, and of a quarter as many
+// that hold none and whose answers are pending.
+func newFleet(tb testing.TB, instances int) (*Core, *directory.Directory, time.Duration) {
 	tb.Helper()
 	view := directory.New()
 	core := New(Config{
@@ -32,7 +32,7 @@
 		tb.Fatal(err)
 	}
 	apply([]directory.Command{{Patch: &patch}})
-	beats := func(now time.Duration, first, last int, sequence uint64) {
+	receiveAll := func(now time.Duration, first, last int, sequence uint64) {
 		batch := core.Batch(now, view)
 		for number := first; number < last; number++ {
 			beat := Beat{
@@ -46,12 +46,12 @@
 		apply(batch.Commands())
 	}
 	now := 6 * time.Second
-	beats(now, 0, instances, 1)
+	receiveAll(now, 0, instances, 1)
 	now += 2500 * time.Millisecond
 	apply(core.Tick(now, view))
-	beats(now+100*time.Millisecond, 0, instances, 2)
+	receiveAll(now+100*time.Millisecond, 0, instances, 2)
 	now += 200 * time.Millisecond
-	beats(now, instances, instances+instances/4, 1)
+	receiveAll(now, instances, instances+instances/4, 1)
 	report := Report{Service: "s"}
 	for _, holding := range view.Layout("s").Holdings {
 		report.Keys, report.Counts = append(report.Keys, uint16(holding.First)), append(report.Counts, 1+uint16(holding.First%3))
@@ -60,11 +60,11 @@
 	return core, view, now
 }
 
-// BenchmarkTickOfFleet decides what is due by itself, with keys to move to newcomers.
+// BenchmarkTickOfFleet measures a tick with keys to move to instances that hold none.
 func BenchmarkTickOfFleet(b *testing.B) {
 	for _, instances := range []int{1450, 2900, 5800} {
 		b.Run(fmt.Sprint(instances), func(b *testing.B) {
-			core, view, now := fleetOf(b, instances)
+			core, view, now := newFleet(b, instances)
 			for b.Loop() {
 				core.Tick(now+10*time.Millisecond, view)
 			}
@@ -72,11 +72,11 @@
 	}
 }
 
-// BenchmarkSlowHeartbeatOfFleet takes a heartbeat that needs a look at the whole layout.
+// BenchmarkSlowHeartbeatOfFleet measures a heartbeat that needs a scan of the whole layout.
 func BenchmarkSlowHeartbeatOfFleet(b *testing.B) {
 	for _, instances := range []int{1450, 2900, 5800} {
 		b.Run(fmt.Sprint(instances), func(b *testing.B) {
-			core, view, now := fleetOf(b, instances)
+			core, view, now := newFleet(b, instances)
 			sequence := uint64(2)
 			for b.Loop() {
 				sequence++
@@ -92,11 +92,11 @@
 	}
 }
 
-// TestHeartbeatsOfABatchLookAtTheirOwnKeys: while keys move, a heartbeat that moves none costs no
-// look at the holdings of all instances, whatever their number.
+// TestHeartbeatsOfABatchLookAtTheirOwnKeys checks that, while keys move, a heartbeat that moves none does
+// not scan the holdings of all instances, whatever their number.
 func TestHeartbeatsOfABatchLookAtTheirOwnKeys(t *testing.T) {
 	for _, instances := range []int{200, 400} {
-		core, view, now := fleetOf(t, instances)
+		core, view, now := newFleet(t, instances)
 		batch := core.Batch(now+10*time.Millisecond, view)
 		receive := func(number int, draining bool) {
 			err := batch.Receive(Beat{
@@ -109,64 +109,64 @@
 		}
 		receive(0, true)
 		draft := batch.draft("s")
-		walks, moving := draft.walks, draft.moving
+		scans, moving := draft.layoutScans, draft.moving
 		if moving == 0 {
-			t.Fatal("no keys move")
+			t.Fatal("no keys are being moved")
 		}
 		for number := 1; number < instances; number++ {
 			receive(number, false)
 		}
-		// A move looks for the part that moves, and for what its instance still holds.
-		const looksOfMove, looksOfBatch = 3, 2
-		if looked := draft.walks - walks; looked > looksOfMove*(draft.moving-moving)+looksOfBatch {
-			t.Errorf("%d heartbeats looked at all holdings %d times, %d moves began", instances-1, looked, draft.moving-moving)
+		// A move scans for the range to move, and for what its instance still holds.
+		const scansPerMove, scansPerBatch = 3, 2
+		if newScans := draft.layoutScans - scans; newScans > scansPerMove*(draft.moving-moving)+scansPerBatch {
+			t.Errorf("%d heartbeats scanned all holdings %d times while %d moves started", instances-1, newScans, draft.moving-moving)
 		}
-		if draft.moving-moving > core.mostMoves(len(draft.candidates)) {
-			t.Errorf("%d moves at a time", draft.moving-moving)
+		if draft.moving-moving > core.maxMoves(len(draft.candidates)) {
+			t.Errorf("%d moves started at a time", draft.moving-moving)
 		}
 	}
 }
 
-// TestChoicesLookAtABoundedNumber: a choice among n and 2n instances looks at the same number of
-// them, the choices of a batch at all in turn, and none at one instance twice.
+// TestChoicesLookAtABoundedNumber checks that a choice considers the same number of candidates among n and
+// 2n instances, each at most once, and that successive choices of a batch consider all in turn.
 func TestChoicesLookAtABoundedNumber(t *testing.T) {
 	for _, instances := range []int{100, 1000, 2000} {
-		core, view, now := fleetOf(t, instances)
+		core, view, now := newFleet(t, instances)
 		draft := core.draft(now, "s", view)
-		met := make(map[*candidate]int)
-		for range 2 * len(draft.candidates) / mostLooked {
-			window := draft.window()
-			if want := min(len(draft.candidates), mostLooked); len(window) != want {
-				t.Fatalf("%d of %d candidates looked at, want %d", len(window), len(draft.candidates), want)
+		considered := make(map[*candidate]int)
+		for range 2 * len(draft.candidates) / maxWindow {
+			window := draft.nextWindow()
+			if want := min(len(draft.candidates), maxWindow); len(window) != want {
+				t.Fatalf("%d of %d candidates in a window, want %d", len(window), len(draft.candidates), want)
 			}
 			distinct := make(map[*candidate]bool)
-			for _, each := range window {
-				met[each]++
-				distinct[each] = true
+			for _, candidate := range window {
+				considered[candidate]++
+				distinct[candidate] = true
 			}
 			if len(distinct) != len(window) {
-				t.Fatal("a candidate is looked at twice in one choice")
+				t.Fatal("a window contains a candidate twice")
 			}
 		}
-		if len(draft.candidates) > mostLooked && len(met) != len(draft.candidates) {
-			t.Errorf("%d of %d candidates met", len(met), len(draft.candidates))
+		if len(draft.candidates) > maxWindow && len(considered) != len(draft.candidates) {
+			t.Errorf("%d of %d candidates considered", len(considered), len(draft.candidates))
 		}
 	}
 }
 
-// TestLostKeysGoToThoseWhoAreToldAtOnce: keys of instances that were lost go to instances whose
-// answers wait, of which there are as many at 3 s between heartbeats as at one: the others would
-// hear of them up to 3 s later, and nobody would serve them until then.
+// TestLostKeysGoToThoseWhoAreToldAtOnce checks that keys of lost instances are assigned to instances whose
+// answers are pending. With 3 s between heartbeats these are as many as with 1 s; the others would learn of
+// the keys up to 3 s later, and nothing would serve the keys until then.
 func TestLostKeysGoToThoseWhoAreToldAtOnce(t *testing.T) {
 	for _, instances := range []int{200, 400} {
-		core, view, now := fleetOf(t, instances)
-		reachable := make(map[directory.InstanceID]bool)
+		core, view, now := newFleet(t, instances)
+		pendingAnswer := make(map[directory.InstanceID]bool)
 		number := 0
-		for id, known := range core.contacts {
-			known.interval, known.answerableUntil = 3*time.Second, 0
+		for id, state := range core.heartbeats {
+			state.interval, state.answerableUntil = 3*time.Second, 0
 			if number++; number%4 == 0 {
-				known.answerableUntil = now + time.Second
-				reachable[id] = true
+				state.answerableUntil = now + time.Second
+				pendingAnswer[id] = true
 			}
 		}
 		draft := core.draft(now, "s", view)
@@ -174,15 +174,15 @@
 		for index := range lost {
 			draft.freeHolding(&draft.layout.Holdings[index*5], "")
 		}
-		draft.settle()
-		told := 0
+		draft.assignUnowned()
+		reached := 0
 		for index := range lost {
-			if reachable[draft.layout.Holdings[index*5].Owner] {
-				told++
+			if pendingAnswer[draft.layout.Holdings[index*5].Owner] {
+				reached++
 			}
 		}
-		if told < lost {
-			t.Errorf("%d of %d lost ranges go to instances that are told at once", told, lost)
+		if reached < lost {
+			t.Errorf("%d of %d lost ranges assigned to instances with pending answers", reached, lost)
 		}
 	}
 }
--- a/internal/heartbeat/gateways.go
+++ b/internal/heartbeat/gateways.go
@@ -2,64 +2,64 @@
 
 import "time"
 
-// What an instance may get from all gateways together is divided by their number. The
-// leader counts those that report to it. A gateway that is cut off still reaches
-// instances, so that it counts for a while; the number falls only once it was lower for
-// as long.
+// Limits for an instance that apply to all gateways together are divided by the number of gateways.
+// The leader counts the gateways that report to it. A gateway that is disconnected from the leader may
+// still reach instances, so it counts for gatewayTimeout longer, and a new leader does not publish a
+// lower number before gatewayTimeout has passed.
 
 const (
-	// gatewayMemory is how long a gateway counts after it was heard of: longer than cuts
-	// last as a rule.
-	gatewayMemory = time.Minute
-	// gatewayInterval is the least time between two changes of the number.
-	gatewayInterval = 500 * time.Millisecond
-	// fewerGateways is the share of the published number from which on a lower one is
-	// published: a number that is too high only slows cold instances down.
-	fewerGateways = 0.9
+	// gatewayTimeout is how long a gateway counts after its last report. It exceeds the usual length
+	// of a network partition.
+	gatewayTimeout = time.Minute
+	// gatewayPublishInterval is the minimum time between two changes of the number.
+	gatewayPublishInterval = 500 * time.Millisecond
+	// gatewayDecreaseRatio is the share of the published number below which a lower one is published.
+	// A number that is too high only slows cold instances down.
+	gatewayDecreaseRatio = 0.9
 )
 
-// GatewayOffer is what a gateway offers to others.
+// GatewayOffer describes what a gateway offers to other gateways.
 type GatewayOffer struct {
-	// Address is where others ask it for the places of instances, IP:port; empty if it does
-	// not give any out.
+	// Address is the IP:port at which other gateways request slots of instances; empty if the gateway
+	// does not allocate any.
 	Address string `msgpack:"a"`
 	Zone    string `msgpack:"z"`
-	// Megabits is what its link carries in each direction, in Mbit/s; zero for no bound.
+	// Megabits is the bandwidth of its link in each direction, in Mbit/s; zero if not limited.
 	Megabits float64 `msgpack:"m"`
 }
 
-// gateway is what this leader knows of one.
+// gateway is what this leader knows about a gateway.
 type gateway struct {
 	heardAt time.Duration
 	offer   GatewayOffer
 }
 
-// HearGateway notes that a gateway reports to this leader. What it offers is told once on
-// each connection, and nil later.
+// HearGateway records a report of a gateway to this leader. A gateway sends its offer once per
+// connection; offer is nil otherwise.
 func (c *Core) HearGateway(now time.Duration, name string, offer *GatewayOffer) {
-	known := c.gateways[name]
-	known.heardAt = now
+	state := c.gateways[name]
+	state.heardAt = now
 	if offer != nil {
-		known.offer = *offer
+		state.offer = *offer
 	}
-	c.gateways[name] = known
+	c.gateways[name] = state
 }
 
-// publishGateways tells the number of gateways if it has changed.
+// publishGateways publishes the number of gateways if it has changed.
 func (b *Batch) publishGateways() {
 	core := b.core
-	if b.now-core.countedAt < gatewayInterval {
+	if b.now-core.gatewaysCheckedAt < gatewayPublishInterval {
 		return
 	}
-	core.countedAt = b.now
-	for name, known := range core.gateways {
-		if b.now-known.heardAt > gatewayMemory {
+	core.gatewaysCheckedAt = b.now
+	for name, state := range core.gateways {
+		if b.now-state.heardAt > gatewayTimeout {
 			delete(core.gateways, name)
 		}
 	}
 	count, published := len(core.gateways), b.view.Gateways()
-	complete := b.now-core.leadSince > gatewayMemory
-	if count > published || complete && count > 0 && float64(count) < fewerGateways*float64(published) {
-		b.gateways = count
+	complete := b.now-core.leadSince > gatewayTimeout
+	if count > published || complete && count > 0 && float64(count) < gatewayDecreaseRatio*float64(published) {
+		b.gatewayCount = count
 	}
 }
--- a/internal/heartbeat/index.go
+++ b/internal/heartbeat/index.go
@@ -7,136 +7,136 @@
 	"github.com/thorntiller/thorntiller/internal/directory"
 )
 
-// index tells of one layout what each instance holds, so that a heartbeat which
-// changes nothing does not look at the holdings of the others.
+// index lists the holdings of each instance in one layout, so that a heartbeat that changes nothing
+// does not scan the holdings of other instances.
 type index struct {
 	revision directory.Revision
 	owned    map[directory.InstanceID][]directory.Holding
-	// moving counts the holdings that are revoked or have no owner, and free those
-	// without an owner.
-	moving int
-	free   int
-	// slots are those of all instances that hold keys.
+	// moving is the number of holdings that are revoked or have no owner; unowned is the number of
+	// those without an owner.
+	moving  int
+	unowned int
+	// slots is the sum of the slots of all instances that own keys.
 	slots int
 }
 
 func newIndex(layout directory.Layout, view *directory.Directory) *index {
-	made := &index{revision: layout.Revision, owned: make(map[directory.InstanceID][]directory.Holding)}
+	built := &index{revision: layout.Revision, owned: make(map[directory.InstanceID][]directory.Holding)}
 	for _, holding := range layout.Holdings {
 		if holding.Owner == "" {
-			made.free++
+			built.unowned++
 		} else {
-			made.owned[holding.Owner] = append(made.owned[holding.Owner], holding)
+			built.owned[holding.Owner] = append(built.owned[holding.Owner], holding)
 		}
 		if holding.Revoked || holding.Owner == "" {
-			made.moving++
+			built.moving++
 		}
 	}
-	for owner := range made.owned {
+	for owner := range built.owned {
 		if instance, found := view.Instance(owner); found {
-			made.slots += max(instance.Slots, 1)
+			built.slots += max(instance.Slots, 1)
 		}
 	}
-	return made
+	return built
 }
 
-// index returns that of a service's layout in force.
+// index returns the index of the current layout of a service.
 func (c *Core) index(service string, view *directory.Directory) *index {
 	layout := view.Layout(service)
-	known, found := c.indexes[service]
-	if !found || known.revision != layout.Revision {
-		known = newIndex(layout, view)
-		c.indexes[service] = known
+	existing, found := c.indexes[service]
+	if !found || existing.revision != layout.Revision {
+		existing = newIndex(layout, view)
+		c.indexes[service] = existing
 	}
-	return known
+	return existing
 }
 
-// changesNothing reports whether a heartbeat leaves the layout as it is: the instance
-// stays, has been told of its keys, lets none go, and is not too busy.
-func (c *Core) changesNothing(now time.Duration, beat Beat, view *directory.Directory) bool {
+// keepsLayout reports whether a heartbeat leaves the layout unchanged: the instance is not draining,
+// knows its keys, releases none, and need not give any away.
+func (c *Core) keepsLayout(now time.Duration, beat Beat, view *directory.Directory) bool {
 	index := c.index(beat.Service, view)
-	if index.free > 0 {
+	if index.unowned > 0 {
 		return false
 	}
 	owned := index.owned[beat.Instance]
-	c.noteNewcomer(now, beat, len(owned) == 0)
+	c.trackEmptyInstance(now, beat, len(owned) == 0)
 	if len(owned) == 0 {
 		return true
 	}
-	if beat.Draining || view.Evacuated(beat.Zone) || len(owned) > maxRows {
+	if beat.Draining || view.Evacuated(beat.Zone) || len(owned) > maxRanges {
 		return false
 	}
-	revoked := false
+	hasRevoked := false
 	for _, holding := range owned {
-		if mayRelease(holding, beat) || !holding.Granted && !holding.Revoked {
+		if releasesHolding(holding, beat) || !holding.Granted && !holding.Revoked {
 			return false
 		}
-		revoked = revoked || holding.Revoked
+		hasRevoked = hasRevoked || holding.Revoked
 	}
-	if revoked {
+	if hasRevoked {
 		return true
 	}
-	if index.moving >= c.mostMoves(len(index.owned)) {
+	if index.moving >= c.maxMoves(len(index.owned)) {
 		return true
 	}
-	if c.hasNewcomer(now, beat.Service) && c.mayGive(now, beat.Service, owned, len(index.owned)) {
+	if c.hasEmptyInstance(now, beat.Service) && c.mayGiveKeys(now, beat.Service, owned, len(index.owned)) {
 		return false
 	}
-	return c.used(now, directory.Instance{ID: beat.Instance, Service: beat.Service, Slots: beat.Slots}, owned) < c.busyFrom(now, beat.Service, view)
+	return c.certainUtilisation(now, directory.Instance{ID: beat.Instance, Service: beat.Service, Slots: beat.Slots}, owned) < c.busyThreshold(now, beat.Service, view)
 }
 
-// mayGive reports whether an instance has at least the mean of the demand, so that it may give
-// keys to one that has none. The others need no look at the whole layout: of 5,800 instances that
-// wait for 3,900 newcomers each heartbeat would else cost one.
-func (c *Core) mayGive(now time.Duration, service string, owned []directory.Holding, holders int) bool {
+// mayGiveKeys reports whether the demand for an instance's keys is at least the mean, so that it may
+// give keys to an empty instance. Other instances skip the scan of the whole layout; otherwise, with
+// 5,800 instances and 3,900 new ones that wait for keys, each heartbeat would cost a scan.
+func (c *Core) mayGiveKeys(now time.Duration, service string, owned []directory.Holding, holders int) bool {
 	demand := c.demandOf(now, service)
-	var own counted
+	var own windowRates
 	for _, holding := range owned {
-		own = own.plus(demand.counts(holding.First, holding.Last))
+		own = own.plus(demand.windowRates(holding.First, holding.Last))
 	}
 	rate := demand.estimate(own).rate
-	total := demand.estimate(demand.counts(0, directory.MaxKey)).rate
-	return rate > 0 && rate*float64(holders+len(c.newcomers[service])) >= total
+	total := demand.estimate(demand.windowRates(0, directory.MaxKey)).rate
+	return rate > 0 && rate*float64(holders+len(c.emptyInstances[service])) >= total
 }
 
-// noteNewcomer remembers whether an instance holds no keys, so that others give it some
-// at their heartbeats.
-func (c *Core) noteNewcomer(now time.Duration, beat Beat, without bool) {
-	waiting := c.newcomers[beat.Service]
+// trackEmptyInstance records whether an instance owns no keys. Other instances give it some at their
+// heartbeats.
+func (c *Core) trackEmptyInstance(now time.Duration, beat Beat, empty bool) {
+	empties := c.emptyInstances[beat.Service]
 	switch {
-	case !without || beat.Draining:
-		delete(waiting, beat.Instance)
-	case waiting == nil:
-		c.newcomers[beat.Service] = map[directory.InstanceID]time.Duration{beat.Instance: now}
+	case !empty || beat.Draining:
+		delete(empties, beat.Instance)
+	case empties == nil:
+		c.emptyInstances[beat.Service] = map[directory.InstanceID]time.Duration{beat.Instance: now}
 	default:
-		waiting[beat.Instance] = now
+		empties[beat.Instance] = now
 	}
 }
 
-// hasNewcomer reports whether an instance without keys sent a heartbeat of late.
-func (c *Core) hasNewcomer(now time.Duration, service string) bool {
-	waiting := c.newcomers[service]
-	for id, heardAt := range waiting {
-		if now-heardAt <= c.config.recent() {
+// hasEmptyInstance reports whether an instance without keys sent a heartbeat recently.
+func (c *Core) hasEmptyInstance(now time.Duration, service string) bool {
+	empties := c.emptyInstances[service]
+	for id, heardAt := range empties {
+		if now-heardAt <= c.config.livenessTimeout() {
 			return true
 		}
-		delete(waiting, id)
+		delete(empties, id)
 	}
 	return false
 }
 
-// mayRelease reports whether a heartbeat lets a revoked holding go.
-func mayRelease(holding directory.Holding, beat Beat) bool {
+// releasesHolding reports whether a heartbeat releases a revoked holding.
+func releasesHolding(holding directory.Holding, beat Beat) bool {
 	return holding.Revoked && !slices.ContainsFunc(beat.Held, func(held Held) bool { return held.Overlaps(rangeOf(holding)) })
 }
 
-// used returns the share of an instance's slots that the demand for its keys surely
-// keeps in use.
-func (c *Core) used(now time.Duration, instance directory.Instance, owned []directory.Holding) float64 {
+// certainUtilisation returns the share of an instance's slots that the demand for its keys keeps in
+// use, by the lower confidence bound of the demand.
+func (c *Core) certainUtilisation(now time.Duration, instance directory.Instance, owned []directory.Holding) float64 {
 	demand := c.demandOf(now, instance.Service)
-	var rates counted
+	var rates windowRates
 	for _, holding := range owned {
-		rates = rates.plus(demand.counts(holding.First, holding.Last))
+		rates = rates.plus(demand.windowRates(holding.First, holding.Last))
 	}
-	return demand.timeOf(now, instance.ID, instance.Slots) * demand.estimate(rates).atLeast() / float64(max(instance.Slots, 1))
+	return demand.serviceTimeOf(now, instance.ID, instance.Slots) * demand.estimate(rates).lowerBound() / float64(max(instance.Slots, 1))
 }
--- a/internal/heartbeat/isolate.go
+++ b/internal/heartbeat/isolate.go
@@ -6,50 +6,49 @@
 	"github.com/thorntiller/thorntiller/internal/directory"
 )
 
-// A key has one holder, so that a hot key is served as fast as its holder works and no
-// faster. Such a key is isolated: it moves alone to the fastest instance, whose other
-// keys then move away like those of any busy instance.
+// A key has one holder, so a hot key cannot be served faster than by its holder. An overloading key is
+// isolated: it moves alone to the fastest instance, whose other keys are then moved away like those
+// of any busy instance.
 
 const (
-	// dominantLoad is the share of an instance's slots that one key must keep in use to
-	// be isolated. Below it the key fits beside others, once those have moved away.
+	// dominantLoad is the share of an instance's slots that a key must keep in use to be isolated. A
+	// key below it can share an instance with other keys once some of those have moved away.
 	dominantLoad = 0.6
-	// fasterBy is how many times as fast another instance must be to be worth a move,
-	// during which nobody serves the key. It is above the error of the measured times.
-	fasterBy = 1.4
-	// longestHotGap is how long a hot key may be without a holder: the time to let it go
-	// and to tell an instance whose answer waits, with room for a slow request.
-	longestHotGap = 300 * time.Millisecond
-	// reservation is how long the instance that is to get a hot key gets no others. Its
-	// waiting answer would be spent on them, and it could not be told of the hot key
-	// until its next heartbeat.
-	reservation = 400 * time.Millisecond
+	// minSpeedup is how many times as fast the other instance must be to justify a move, during which
+	// the key is not served. It exceeds the error of the measured service times.
+	minSpeedup = 1.4
+	// maxHotKeyGap bounds the expected time without a holder of a hot key: the time to release it and
+	// to notify an instance whose answer is pending, with allowance for a slow request.
+	maxHotKeyGap = 300 * time.Millisecond
+	// reservationTime is how long an instance that is to get a hot key gets no other keys. They would
+	// use up its pending answer, and it would learn of the hot key only at its next heartbeat.
+	reservationTime = 400 * time.Millisecond
 )
 
-// isolate begins to move the hottest key of a source to the fastest instance, if the
-// key alone overloads the source. It reports whether it did.
+// isolate starts to move the hottest key that by itself overloads the source to the fastest instance.
+// It reports whether it did.
 func (d *draft) isolate(source *candidate) bool {
 	for _, hot := range d.demand().hotKeys() {
 		index, found := d.movable(source, hot.key)
-		if !found || hot.rate*d.timeInSlots(source) < dominantLoad {
+		if !found || hot.rate*d.utilisationPerRate(source) < dominantLoad {
 			continue
 		}
 		target := d.fastest(source)
 		if target == nil {
 			return false
 		}
-		source.rows += d.revokePart(index, Range{First: hot.key, Last: hot.key}, target)
+		source.rangeCount += d.revokePart(index, Range{First: hot.key, Last: hot.key}, target)
 		source.rate -= hot.rate
 		target.rate += hot.rate
-		target.awaited++
-		d.core.reservedUntil[target.id] = d.now + reservation
+		target.incoming++
+		d.core.reservedUntil[target.id] = d.now + reservationTime
 		return true
 	}
 	return false
 }
 
-// movable returns the index of the holding with a key, if a source holds it and may let
-// it go.
+// movable returns the index of the holding that contains a key. The second result is false if the
+// source does not own the holding or cannot release it yet.
 func (d *draft) movable(source *candidate, key directory.Key) (int, bool) {
 	for index, holding := range d.layout.Holdings {
 		if holding.Contains(key) {
@@ -59,28 +58,28 @@
 	return 0, false
 }
 
-// fastest returns the instance that answers soonest, without a hot key of its own and
-// faster than a source by enough; nil if there is none.
+// fastest returns the fastest candidate that has no hot key of its own and is faster than the source
+// by at least minSpeedup; nil if there is none.
 func (d *draft) fastest(source *candidate) *candidate {
-	occupied := d.hotHolders()
+	hotHolders := d.hotHolders()
 	var best *candidate
 	bestCost := 0.0
-	for _, each := range d.candidates {
-		if each == source || !each.warm || each.rows+each.awaited >= maxRows || occupied[each.id] || d.timeInSlots(each) <= 0 {
+	for _, candidate := range d.candidates {
+		if candidate == source || !candidate.warm || candidate.rangeCount+candidate.incoming >= maxRanges || hotHolders[candidate.id] || d.utilisationPerRate(candidate) <= 0 {
 			continue
 		}
-		if d.timeInSlots(each)*fasterBy > d.timeInSlots(source) || d.reserved(each) || d.gap(source, each) > d.longestGap() {
+		if d.utilisationPerRate(candidate)*minSpeedup > d.utilisationPerRate(source) || d.reserved(candidate) || d.handoverGap(source, candidate) > d.maxHandoverGap() {
 			continue
 		}
-		if cost := d.timeInSlots(each) * (1 + d.gap(source, each).Seconds()); best == nil || cost < bestCost {
-			best, bestCost = each, cost
+		if cost := d.utilisationPerRate(candidate) * (1 + d.handoverGap(source, candidate).Seconds()); best == nil || cost < bestCost {
+			best, bestCost = candidate, cost
 		}
 	}
 	return best
 }
 
-// hotHolders returns the instances that hold, or are about to get, a key which fills
-// much of their slots.
+// hotHolders returns the instances that own, or are about to get, a key that keeps at least
+// dominantLoad of their slots in use.
 func (d *draft) hotHolders() map[directory.InstanceID]bool {
 	holders := make(map[directory.InstanceID]bool)
 	for _, hot := range d.demand().hotKeys() {
@@ -92,21 +91,23 @@
 		if holding.Revoked || holding.Owner == "" {
 			holder = d.candidate(d.core.target(d.layout.Service, holding.First))
 		}
-		if holder != nil && hot.rate*d.timeInSlots(holder) >= dominantLoad {
+		if holder != nil && hot.rate*d.utilisationPerRate(holder) >= dominantLoad {
 			holders[holder.id] = true
 		}
 	}
 	return holders
 }
 
-// longestGap bounds the time without a holder of a hot key. Where answers are not held
-// back any instance is told at its next heartbeat only, so that there is no choice.
-func (d *draft) longestGap() time.Duration {
+// maxHandoverGap bounds the time without a holder of a hot key. If answers are not held back, every
+// instance learns of keys only at its next heartbeat, so the bound is assumedGap.
+func (d *draft) maxHandoverGap() time.Duration {
 	if d.core.config.HoldBack == 0 {
-		return unknownGap
+		return assumedGap
 	}
-	return longestHotGap
+	return maxHotKeyGap
 }
 
-// reserved reports whether an instance is about to get a hot key.
-func (d *draft) reserved(each *candidate) bool { return d.now < d.core.reservedUntil[each.id] }
+// reserved reports whether an instance is reserved for a hot key.
+func (d *draft) reserved(candidate *candidate) bool {
+	return d.now < d.core.reservedUntil[candidate.id]
+}
--- a/internal/heartbeat/keepers.go
+++ b/internal/heartbeat/keepers.go
@@ -10,36 +10,35 @@
 	"github.com/thorntiller/thorntiller/internal/directory"
 )
 
-// Gateways that give out the places of instances, see package room, are named by the leader:
-// a few in each zone, the same for as long as they are heard, since one that takes over knows
-// nothing at first.
+// Keepers are the gateways that allocate slots of instances, see package room. The leader selects a few
+// per zone and keeps them as long as they report, since a new keeper starts without state.
 
 const (
-	// keeperInterval is the time between two looks at the keepers.
+	// keeperInterval is the time between two checks of the keepers.
 	keeperInterval = 250 * time.Millisecond
-	// keeperSilence is how long a keeper may be silent before another one takes its place:
-	// three reports and the time of a resend on the way.
-	keeperSilence = 1200 * time.Millisecond
-	// instancesOfKeeper is the number of instances in a zone for which it has one keeper: at
-	// ten requests a second each, whose messages take some 200 bytes, they take 40 KB/s.
-	instancesOfKeeper = 20
+	// keeperTimeout is the time without a report after which a keeper is replaced: three reports and
+	// the time of one retransmission.
+	keeperTimeout = 1200 * time.Millisecond
+	// instancesPerKeeper is the number of instances in a zone per keeper. At ten requests per second
+	// each, with messages of about 200 bytes, they use 40 KB/s.
+	instancesPerKeeper = 20
 )
 
-// publishKeepers tells the keepers of each zone if they have changed.
+// publishKeepers publishes the keepers of all zones if they have changed.
 func (b *Batch) publishKeepers() {
 	core := b.core
-	if b.now-core.keepersAt < keeperInterval || b.now-core.leadSince < keeperSilence {
+	if b.now-core.keepersCheckedAt < keeperInterval || b.now-core.leadSince < keeperTimeout {
 		return
 	}
-	core.keepersAt = b.now
+	core.keepersCheckedAt = b.now
 	published := b.view.Keepers()
-	if wanted := core.keepers(b.now, b.view, published); len(wanted) > 0 && !slices.Equal(wanted, published) {
-		b.keepers = wanted
+	if updated := core.keepers(b.now, b.view, published); len(updated) > 0 && !slices.Equal(updated, published) {
+		b.keepers = updated
 	}
 }
 
-// keepers returns those of all zones: the published ones that are still heard, and where there
-// are too few of them, others of the zone.
+// keepers selects the keepers of all zones: the published ones that still report, then other gateways
+// of the zone up to the required number.
 func (c *Core) keepers(now time.Duration, view *directory.Directory, published []directory.Keeper) []directory.Keeper {
 	instances := make(map[string]int)
 	for instance := range view.EachInstance() {
@@ -50,22 +49,22 @@
 	offers := c.offers(now)
 	var keepers []directory.Keeper
 	for zone, count := range instances {
-		wanted := 1 + (count-1)/instancesOfKeeper
+		target := 1 + (count-1)/instancesPerKeeper
 		chosen := 0
-		take := func(offer GatewayOffer) {
-			if chosen < wanted && offer.Zone == zone {
+		choose := func(offer GatewayOffer) {
+			if chosen < target && offer.Zone == zone {
 				keepers = append(keepers, directory.Keeper{Address: offer.Address, Zone: zone})
 				chosen++
 			}
 		}
 		for _, offer := range offers {
 			if slices.Contains(published, directory.Keeper{Address: offer.Address, Zone: offer.Zone}) {
-				take(offer)
+				choose(offer)
 			}
 		}
 		for _, offer := range offers {
 			if !slices.Contains(keepers, directory.Keeper{Address: offer.Address, Zone: zone}) {
-				take(offer)
+				choose(offer)
 			}
 		}
 	}
@@ -73,12 +72,12 @@
 	return keepers
 }
 
-// offers returns those of the gateways that are heard, the ones with the widest link first.
+// offers returns the offers of the gateways that report, highest bandwidth first.
 func (c *Core) offers(now time.Duration) []GatewayOffer {
 	var offers []GatewayOffer
-	for _, known := range c.gateways {
-		if known.offer.Address != "" && now-known.heardAt <= keeperSilence {
-			offers = append(offers, known.offer)
+	for _, state := range c.gateways {
+		if state.offer.Address != "" && now-state.heardAt <= keeperTimeout {
+			offers = append(offers, state.offer)
 		}
 	}
 	slices.SortFunc(offers, func(a, b GatewayOffer) int {
--- a/internal/heartbeat/keepers_test.go
+++ b/internal/heartbeat/keepers_test.go
@@ -9,13 +9,13 @@
 	"github.com/thorntiller/thorntiller/internal/directory"
 )
 
-// TestKeepersStayWhileTheyAreHeard: each zone has as many as its instances need, those with the
-// widest links; they stay when others come, one that is silent or stops is replaced, and a new
-// leader names nobody before it could hear those that are there.
+// TestKeepersStayWhileTheyAreHeard checks that each zone has as many keepers as its instances need, those
+// with the highest bandwidth first; that keepers stay when other gateways join; that a keeper that is silent
+// or stops is replaced; and that a new leader selects none before it could hear the existing ones.
 func TestKeepersStayWhileTheyAreHeard(t *testing.T) {
 	s := newScript(t)
 	var instances []directory.Instance
-	for index := range 2 * instancesOfKeeper {
+	for index := range 2 * instancesPerKeeper {
 		instances = append(instances, directory.Instance{
 			ID: directory.InstanceID(fmt.Sprint("i", index)), Service: "s", Address: fmt.Sprintf("10.1.0.%d:1", index), Zone: "z", Slots: 2, State: directory.InstanceReady,
 		})
@@ -25,7 +25,7 @@
 	for index := range 5 {
 		offers[fmt.Sprint("g", index)] = &GatewayOffer{Address: fmt.Sprintf("10.0.0.%d:1", index), Zone: "z", Megabits: float64(index % 3)}
 	}
-	hear := func(seconds int, silent ...string) {
+	reportFor := func(seconds int, silent ...string) {
 		for range 4 * seconds {
 			s.now += 250 * time.Millisecond
 			for name, offer := range offers {
@@ -38,26 +38,26 @@
 	}
 	s.core.Lead(s.now)
 	s.apply(s.core.Tick(s.now+10*time.Millisecond, s.view)...)
-	if named := s.view.Keepers(); len(named) > 0 {
-		t.Errorf("a new leader names %v", named)
+	if published := s.view.Keepers(); len(published) > 0 {
+		t.Errorf("a new leader selects keepers %v before it heard any gateway", published)
 	}
-	hear(3)
+	reportFor(3)
 	first := s.view.Keepers()
 	if len(first) != 2 || !slices.Contains(first, directory.Keeper{Address: "10.0.0.2:1", Zone: "z"}) {
-		t.Fatalf("keepers %v, want two, the one with the widest link among them", first)
+		t.Fatalf("keepers %v, want two, including the one with the highest bandwidth", first)
 	}
 	offers["wider"] = &GatewayOffer{Address: "10.0.0.9:1", Zone: "z", Megabits: 100}
-	hear(2)
-	if now := s.view.Keepers(); !slices.Equal(now, first) {
-		t.Errorf("keepers %v, want the same %v when others come", now, first)
+	reportFor(2)
+	if keepers := s.view.Keepers(); !slices.Equal(keepers, first) {
+		t.Errorf("keepers %v after another gateway joined, want %v", keepers, first)
 	}
-	hear(3, "g2")
-	if now := s.view.Keepers(); len(now) != 2 || slices.Contains(now, directory.Keeper{Address: "10.0.0.2:1", Zone: "z"}) {
-		t.Errorf("keepers %v, one of which is silent", now)
+	reportFor(3, "g2")
+	if keepers := s.view.Keepers(); len(keepers) != 2 || slices.Contains(keepers, directory.Keeper{Address: "10.0.0.2:1", Zone: "z"}) {
+		t.Errorf("keepers %v include a silent gateway", keepers)
 	}
 	offers["wider"].Address = ""
-	hear(1)
-	if now := s.view.Keepers(); slices.Contains(now, directory.Keeper{Address: "10.0.0.9:1", Zone: "z"}) {
-		t.Errorf("keepers %v, one of which stops", now)
+	reportFor(1)
+	if keepers := s.view.Keepers(); slices.Contains(keepers, directory.Keeper{Address: "10.0.0.9:1", Zone: "z"}) {
+		t.Errorf("keepers %v include a gateway that stopped", keepers)
 	}
 }
--- a/internal/heartbeat/layout.go
+++ b/internal/heartbeat/layout.go
@@ -4,28 +4,28 @@
 	"github.com/thorntiller/thorntiller/internal/directory"
 )
 
-// pieces bounds into how many parts a holding that changes hands is cut.
-const pieces = 8
+// maxParts bounds the number of parts into which an unowned holding is split.
+const maxParts = 8
 
-// minimumWidth is the least number of keys in a part that is cut off.
-const minimumWidth = 64
+// minPartWidth is the minimum number of keys in such a part.
+const minPartWidth = 64
 
-// release frees the revoked keys that their owner does not hold any more.
-func (d *draft) release(beat Beat) {
-	if !d.mayHave(beat.Instance, func(holding directory.Holding) bool { return mayRelease(holding, beat) }) {
+// freeReleased frees the revoked holdings that their owner no longer holds.
+func (d *draft) freeReleased(beat Beat) {
+	if !d.mayHaveHolding(beat.Instance, func(holding directory.Holding) bool { return releasesHolding(holding, beat) }) {
 		return
 	}
-	d.walks++
+	d.layoutScans++
 	for index := range d.layout.Holdings {
 		holding := &d.layout.Holdings[index]
-		if holding.Owner != beat.Instance || !mayRelease(*holding, beat) {
+		if holding.Owner != beat.Instance || !releasesHolding(*holding, beat) {
 			continue
 		}
 		d.freeHolding(holding, handoverFor(*holding, beat.Released))
 	}
 }
 
-// handoverFor returns what the last holder left for keys that it let go.
+// handoverFor returns the handover that the last holder left for released keys.
 func handoverFor(holding directory.Holding, released []Released) string {
 	for _, row := range released {
 		if row.First <= holding.First && holding.Last <= row.Last {
@@ -35,9 +35,10 @@
 	return ""
 }
 
+// freeHolding removes the owner of a holding.
 func (d *draft) freeHolding(holding *directory.Holding, handover string) {
-	d.touched[holding.Owner] = true
-	d.free++
+	d.modified[holding.Owner] = true
+	d.unowned++
 	if !holding.Revoked {
 		d.moving++
 	}
@@ -48,13 +49,13 @@
 	d.changed = true
 }
 
-// grant marks what the answer to the owner's heartbeat tells it.
-func (d *draft) grant(id directory.InstanceID) {
-	untold := func(holding directory.Holding) bool { return !holding.Revoked && !holding.Granted }
-	if !d.mayHave(id, untold) {
+// markGranted marks the holdings that the answer to their owner's heartbeat contains.
+func (d *draft) markGranted(id directory.InstanceID) {
+	ungranted := func(holding directory.Holding) bool { return !holding.Revoked && !holding.Granted }
+	if !d.mayHaveHolding(id, ungranted) {
 		return
 	}
-	d.walks++
+	d.layoutScans++
 	for index := range d.layout.Holdings {
 		holding := &d.layout.Holdings[index]
 		if holding.Owner == id && !holding.Revoked && !holding.Granted {
@@ -64,108 +65,106 @@
 	}
 }
 
-// passOnEnded frees the keys of instances that surely hold nothing any more.
-func (d *draft) passOnEnded() {
-	d.walks++
+// freeExpired frees the holdings of instances that certainly hold nothing any more.
+func (d *draft) freeExpired() {
+	d.layoutScans++
 	for index := range d.layout.Holdings {
 		holding := &d.layout.Holdings[index]
-		if holding.Owner != "" && d.core.ended(d.now, holding.Owner, d.view) {
+		if holding.Owner != "" && d.core.holdsNothing(d.now, holding.Owner, d.view) {
 			d.freeHolding(holding, "")
 		}
 	}
 }
 
-// settle gives the keys without an owner to the instances with the fewest keys.
-func (d *draft) settle() {
-	if len(d.candidates) == 0 || d.free == 0 {
+// assignUnowned assigns all holdings without an owner.
+func (d *draft) assignUnowned() {
+	if len(d.candidates) == 0 || d.unowned == 0 {
 		return
 	}
-	d.measure()
-	d.walks++
-	settled := make([]directory.Holding, 0, len(d.layout.Holdings)+pieces*d.free)
+	d.measureDemand()
+	d.layoutScans++
+	assigned := make([]directory.Holding, 0, len(d.layout.Holdings)+maxParts*d.unowned)
 	for _, holding := range d.layout.Holdings {
 		if holding.Owner != "" {
-			settled = append(settled, holding)
+			assigned = append(assigned, holding)
 			continue
 		}
-		var before directory.InstanceID
-		if len(settled) > 0 {
-			before = settled[len(settled)-1].Owner
+		var previousOwner directory.InstanceID
+		if len(assigned) > 0 {
+			previousOwner = assigned[len(assigned)-1].Owner
 		}
-		settled = append(settled, d.share(holding, before)...)
+		assigned = append(assigned, d.assignHolding(holding, previousOwner)...)
 	}
-	d.layout.Holdings = settled
+	d.layout.Holdings = assigned
 }
 
-// maxRows is the number of ranges of one instance above which its neighbours are
-// joined and no others are added, so that the answer to its heartbeat has at most
-// 4 KiB: a row takes 20 to 24 bytes, and 16 more with a handover, which only new ones
-// have.
-const maxRows = 150
+// maxRanges is the number of ranges above which an instance gets no others and its adjacent ranges are
+// merged, so that the answer to its heartbeat is at most 4 KiB: a range takes 20 to 24 bytes, and 16
+// more with a handover, which only new ranges have.
+const maxRanges = 150
 
-// join makes one holding of neighbours that one instance holds, if it has many. The
-// fence of the joined keys is the highest of theirs.
-func (d *draft) join(id directory.InstanceID) {
-	if !d.touched[id] && len(d.owned[id]) <= maxRows {
+// mergeRanges merges the adjacent ranges of an instance that owns more than maxRanges. The merged range
+// has the highest fence of its parts.
+func (d *draft) mergeRanges(id directory.InstanceID) {
+	if !d.modified[id] && len(d.owned[id]) <= maxRanges {
 		return
 	}
-	d.walks++
-	rows := 0
+	d.layoutScans++
+	count := 0
 	for _, holding := range d.layout.Holdings {
 		if holding.Owner == id {
-			rows++
+			count++
 		}
 	}
-	if rows <= maxRows {
+	if count <= maxRanges {
 		return
 	}
-	settled := func(holding directory.Holding) bool {
+	mergeable := func(holding directory.Holding) bool {
 		return holding.Owner == id && holding.Granted && !holding.Revoked
 	}
-	var joined []directory.Holding
+	var merged []directory.Holding
 	for _, holding := range d.layout.Holdings {
-		last := len(joined) - 1
-		if last >= 0 && settled(joined[last]) && settled(holding) {
-			joined[last].Last = holding.Last
-			joined[last].Fence = max(joined[last].Fence, holding.Fence)
-			joined[last].Handover = ""
+		last := len(merged) - 1
+		if last >= 0 && mergeable(merged[last]) && mergeable(holding) {
+			merged[last].Last = holding.Last
+			merged[last].Fence = max(merged[last].Fence, holding.Fence)
+			merged[last].Handover = ""
 			d.changed = true
 			continue
 		}
-		joined = append(joined, holding)
+		merged = append(merged, holding)
 	}
-	d.layout.Holdings = joined
+	d.layout.Holdings = merged
 }
 
-// share gives a holding without an owner to the instance that it was taken away for,
-// or else cuts it into parts and gives each to the instance with the least burden.
-// Where that one has many ranges already, the holding goes to the instance that holds
-// the keys before it, with which it will be joined.
-func (d *draft) share(holding directory.Holding, before directory.InstanceID) []directory.Holding {
-	d.free--
+// assignHolding assigns a holding without an owner to the instance that it was revoked for. Without such
+// an instance it splits the holding and assigns each part to the cheapest owner; if that one has
+// maxRanges already, to the owner of the keys before the part, whose ranges can then be merged.
+func (d *draft) assignHolding(holding directory.Holding, previousOwner directory.InstanceID) []directory.Holding {
+	d.unowned--
 	d.moving--
 	if target := d.candidate(d.core.target(d.layout.Service, holding.First)); target != nil {
 		holding.Owner = target.id
 		holding.Fence++
 		d.core.clearTarget(d.layout.Service, holding.First)
-		d.touched[target.id] = true
-		target.keys += holding.Width()
-		target.rows++
+		d.modified[target.id] = true
+		target.keyCount += holding.Width()
+		target.rangeCount++
 		d.changed = true
 		return []directory.Holding{holding}
 	}
 	var parts []directory.Holding
-	for _, part := range cut(holding) {
-		target := d.least()
-		if neighbour := d.candidate(before); target.rows >= maxRows && neighbour != nil {
+	for _, part := range splitHolding(holding) {
+		target := d.cheapestOwner()
+		if neighbour := d.candidate(previousOwner); target.rangeCount >= maxRanges && neighbour != nil {
 			target = neighbour
 		}
-		before = target.id
-		d.touched[target.id] = true
-		target.rows++
+		previousOwner = target.id
+		d.modified[target.id] = true
+		target.rangeCount++
 		part.Owner = target.id
 		part.Fence = holding.Fence + 1
-		target.keys += part.Width()
+		target.keyCount += part.Width()
 		target.rate += d.demand().rate(part.First, part.Last)
 		last := len(parts) - 1
 		if last >= 0 && parts[last].Owner == part.Owner {
@@ -178,9 +177,9 @@
 	return parts
 }
 
-// cut divides a holding into parts of nearly the same width.
-func cut(holding directory.Holding) []directory.Holding {
-	count := max(1, min(pieces, holding.Width()/minimumWidth))
+// splitHolding splits a holding into parts of nearly equal width.
+func splitHolding(holding directory.Holding) []directory.Holding {
+	count := max(1, min(maxParts, holding.Width()/minPartWidth))
 	parts := make([]directory.Holding, 0, count)
 	width := holding.Width()
 	for index := range count {
--- a/internal/heartbeat/life.go
+++ b/internal/heartbeat/life.go
@@ -7,48 +7,51 @@
 	"github.com/thorntiller/thorntiller/internal/fault"
 )
 
-// A server that starts again under its identifier proves by a later time of its start that its
-// earlier life has ended. A heartbeat of an earlier life may arrive late, and changes nothing.
+// A server that restarts under its identifier proves by a later start time that its earlier incarnation
+// has ended. A heartbeat of an earlier incarnation may arrive late and has no effect.
 
-// checkLife refuses a heartbeat of a life that is not the newest of its server. ErrProvisional
-// says that the newest has fallen silent, so that its time of start may be wrong: a clock that
-// was set back, or a heartbeat that another process wrote. Such a life is taken once it goes on.
-func (c *Core) checkLife(now time.Duration, beat Beat, view *directory.Directory) error {
-	told := beat.Instance.Incarnation()
-	for _, other := range view.Lives(told.Server) {
-		born := other.ID.Incarnation().Born
-		if born <= told.Born {
+// checkIncarnation rejects a heartbeat of an incarnation that is not the newest of its server. It returns
+// ErrProvisional if the newest one has fallen silent: its start time may be wrong, because a clock was
+// set back or another process wrote the heartbeat. The older incarnation is then accepted once it keeps
+// sending heartbeats.
+func (c *Core) checkIncarnation(now time.Duration, beat Beat, view *directory.Directory) error {
+	incarnation := beat.Instance.Incarnation()
+	for _, other := range view.Lives(incarnation.Server) {
+		otherBorn := other.ID.Incarnation().Born
+		if otherBorn <= incarnation.Born {
 			continue
 		}
-		if told.Born == 0 {
-			return fault.Newf(fault.InvalidArgument, "born: is missing, and server %q told it before: give the Unix milliseconds of its start", told.Server)
+		if incarnation.Born == 0 {
+			return fault.Newf(fault.InvalidArgument, "born: is missing, and server %q told it before: give the Unix milliseconds of its start", incarnation.Server)
 		}
-		if _, known := view.Instance(beat.Instance); known || c.mayLive(now, other) {
-			return fault.Newf(fault.Conflict, "born: %d is before the start of server %q at %d: an earlier life of it has ended", told.Born, told.Server, born)
+		if _, known := view.Instance(beat.Instance); known || c.mayBeAlive(now, other) {
+			return fault.Newf(fault.Conflict, "born: %d is before the start of server %q at %d: an earlier life of it has ended", incarnation.Born, incarnation.Server, otherBorn)
 		}
-		return c.goesOn(now, beat, c.heardOf(other.ID))
+		return c.confirmProvisional(now, beat, c.lastHeard(other.ID))
 	}
 	return nil
 }
 
-// heardOf returns when this leader heard an instance last.
-func (c *Core) heardOf(id directory.InstanceID) time.Duration {
-	if known, met := c.contacts[id]; met {
-		return known.beatAt
+// lastHeard returns when this leader received the last heartbeat of an instance, or the start of its
+// term if it has received none.
+func (c *Core) lastHeard(id directory.InstanceID) time.Duration {
+	if state, tracked := c.heartbeats[id]; tracked {
+		return state.receivedAt
 	}
 	return c.leadSince
 }
 
-// LastHeartbeat returns when this leader heard an instance last; false if it has not.
+// LastHeartbeat returns when this leader received the last heartbeat of an instance, and false if it has
+// received none.
 func (c *Core) LastHeartbeat(id directory.InstanceID) (time.Duration, bool) {
-	known, found := c.contacts[id]
-	if !found {
+	state, tracked := c.heartbeats[id]
+	if !tracked {
 		return 0, false
 	}
-	return known.beatAt, true
+	return state.receivedAt, true
 }
 
-// mayLive reports whether an instance was heard so little ago that it may be alive.
-func (c *Core) mayLive(now time.Duration, instance directory.Instance) bool {
+// mayBeAlive reports whether the lease of an instance may still be valid.
+func (c *Core) mayBeAlive(now time.Duration, instance directory.Instance) bool {
 	return !instance.Ended && now <= c.leaseEnd(instance.ID)
 }
--- a/internal/heartbeat/model_pipeline_test.go
+++ b/internal/heartbeat/model_pipeline_test.go
@@ -12,189 +12,187 @@
 // answerTimeout is how long after a heartbeat a controller still answers it.
 const answerTimeout = 850 * time.Millisecond
 
-// modelProposalTimeout is after how long a controller that does not wait for the end of
-// its proposal goes on to the next.
+// modelProposalTimeout is the time after which a controller with abandonsProposals goes on to its next
+// proposal.
 const modelProposalTimeout = 500 * time.Millisecond
 
-// modelDecision is a heartbeat that waits for its batch, or a tick.
+// modelDecision is a heartbeat that waits for its batch, or a tick if answer is nil.
 type modelDecision struct {
-	beat *heldAnswer
+	answer *pendingAnswer
 }
 
-// modelProposal is a batch on its way through the log of the controllers.
+// modelProposal is a batch that is being committed to the log of the controllers.
 type modelProposal struct {
 	commands []directory.Command
-	// answers are the heartbeats that are answered once it is applied.
-	answers  []heldAnswer
+	// answers are sent once the proposal is applied.
+	answers  []pendingAnswer
 	commitAt time.Duration
 	sentAt   time.Duration
 }
 
-// decisionPipeline puts decisions in force one batch after the other: the next one is
-// decided once the end of the last one is known.
+// decisionPipeline commits one batch at a time: the next one is decided once the outcome of the previous
+// one is known.
 type decisionPipeline struct {
-	waiting  []modelDecision
+	pending  []modelDecision
 	inFlight *modelProposal
-	// abandoned were given up before their end was known; they commit all the same.
+	// abandoned are proposals that were given up before their outcome was known; they commit nevertheless.
 	abandoned []*modelProposal
-	// abandons is whether proposals are given up, which a controller must not do.
-	abandons bool
-	// slow chooses proposals that take long to commit; nil for none but by chance.
-	slow func([]directory.Command) bool
-	// renewsLate is whether a lease counts as renewed only once the answer is given,
-	// which leaves a gap in which a batch takes the keys.
+	// abandonsProposals makes the controller give up slow proposals, which a correct one must not do.
+	abandonsProposals bool
+	// slowToCommit selects proposals that take long to commit; if nil, this happens only by chance.
+	slowToCommit func([]directory.Command) bool
+	// renewsLate makes a lease count as renewed only once the answer is sent. This leaves a gap in
+	// which a batch may reassign the keys.
 	renewsLate bool
 	// lastCommitAt is when the newest proposal commits.
 	lastCommitAt time.Duration
 }
 
-// decide commits what is due, and decides the next batch if none is under way.
+// decide applies proposals that have committed, and decides the next batch if none is in flight.
 func (m *model) decide() {
 	m.commitAbandoned()
-	pipeline := &m.decisions
+	pipeline := &m.pipeline
 	if pipeline.inFlight != nil {
 		m.advanceProposal()
 	}
-	if pipeline.inFlight != nil || len(pipeline.waiting) == 0 {
+	if pipeline.inFlight != nil || len(pipeline.pending) == 0 {
 		return
 	}
 	batch := m.core.Batch(m.now, m.view)
-	var answers []heldAnswer
-	for _, decision := range pipeline.waiting {
-		if decision.beat == nil {
+	var answers []pendingAnswer
+	for _, decision := range pipeline.pending {
+		if decision.answer == nil {
 			batch.Tick()
 			continue
 		}
-		if err := m.receive(batch, decision.beat.beat); err != nil {
-			m.note("%s refused: %v", decision.beat.instance.id, err)
+		if err := m.receive(batch, decision.answer.beat); err != nil {
+			m.tracef("heartbeat of %s rejected: %v", decision.answer.instance.id, err)
 			continue
 		}
-		answers = append(answers, *decision.beat)
+		answers = append(answers, *decision.answer)
 	}
-	pipeline.waiting = nil
+	pipeline.pending = nil
 	m.propose(batch.Commands(), answers)
 }
 
-// receive takes a heartbeat into a batch.
+// receive adds a heartbeat to a batch.
 func (m *model) receive(batch *Batch, beat Beat) error {
-	var before time.Duration
-	known, met := m.core.contacts[beat.Instance]
-	if met {
-		before = known.leaseEnd
+	var leaseEnd time.Duration
+	state, tracked := m.core.heartbeats[beat.Instance]
+	if tracked {
+		leaseEnd = state.leaseEnd
 	}
 	err := batch.Receive(beat)
-	if known, met = m.core.contacts[beat.Instance]; met && m.decisions.renewsLate {
-		known.leaseEnd = before
+	if state, tracked = m.core.heartbeats[beat.Instance]; tracked && m.pipeline.renewsLate {
+		state.leaseEnd = leaseEnd
 	}
 	return err
 }
 
-// propose sends commands into the log. Some take long to commit.
-func (m *model) propose(commands []directory.Command, answers []heldAnswer) {
+// propose submits commands to the log. Some take long to commit.
+func (m *model) propose(commands []directory.Command, answers []pendingAnswer) {
 	if len(commands) == 0 {
-		m.answerAll(answers)
+		m.queueAnswers(answers)
 		return
 	}
 	delay := time.Duration(m.random.IntN(80)) * time.Millisecond
-	if m.chance(10) {
+	if m.faultChance(10) {
 		delay = time.Duration(m.random.IntN(1500)) * time.Millisecond
 	}
-	if m.decisions.slow != nil && m.decisions.slow(commands) {
+	if m.pipeline.slowToCommit != nil && m.pipeline.slowToCommit(commands) {
 		delay = 2 * modelProposalTimeout
 	}
-	// The log keeps the order in which proposals came.
-	commitAt := max(m.now+delay, m.decisions.lastCommitAt)
-	m.decisions.lastCommitAt = commitAt
-	m.decisions.inFlight = &modelProposal{commands: commands, answers: answers, sentAt: m.now, commitAt: commitAt}
+	// The log commits proposals in the order in which they were submitted.
+	commitAt := max(m.now+delay, m.pipeline.lastCommitAt)
+	m.pipeline.lastCommitAt = commitAt
+	m.pipeline.inFlight = &modelProposal{commands: commands, answers: answers, sentAt: m.now, commitAt: commitAt}
 	m.advanceProposal()
 }
 
-// advanceProposal applies the proposal under way once it is committed.
+// advanceProposal applies the proposal in flight once it is committed.
 func (m *model) advanceProposal() {
-	pipeline := &m.decisions
+	pipeline := &m.pipeline
 	proposal := pipeline.inFlight
 	if proposal.commitAt <= m.now {
 		pipeline.inFlight = nil
 		if m.commit(proposal) {
-			m.answerAll(proposal.answers)
+			m.queueAnswers(proposal.answers)
 		}
 		return
 	}
-	if pipeline.abandons && m.now-proposal.sentAt >= modelProposalTimeout {
+	if pipeline.abandonsProposals && m.now-proposal.sentAt >= modelProposalTimeout {
 		pipeline.abandoned = append(pipeline.abandoned, proposal)
 		pipeline.inFlight = nil
 	}
 }
 
-// commitAbandoned applies what was given up and is committed all the same.
+// commitAbandoned applies the abandoned proposals that have committed.
 func (m *model) commitAbandoned() {
-	var left []*modelProposal
-	for _, proposal := range m.decisions.abandoned {
+	var remaining []*modelProposal
+	for _, proposal := range m.pipeline.abandoned {
 		if proposal.commitAt > m.now {
-			left = append(left, proposal)
+			remaining = append(remaining, proposal)
 			continue
 		}
 		m.commit(proposal)
 	}
-	m.decisions.abandoned = left
+	m.pipeline.abandoned = remaining
 }
 
-// commit applies a proposal, and reports whether nothing of it was refused.
+// commit applies a proposal, and reports whether all of its commands were accepted.
 func (m *model) commit(proposal *modelProposal) bool {
-	whole := true
+	allApplied := true
 	for _, command := range proposal.commands {
 		if command.Layout != nil {
-			m.moves++
+			m.layoutChanges++
 		}
-		whole = m.apply(command) && whole
+		allApplied = m.apply(command) && allApplied
 	}
-	return whole
+	return allApplied
 }
 
-// changeLeader begins a term. What the earlier leader proposed last was committed before
-// it, or is lost.
+// changeLeader starts a new term. The last proposals of the earlier leader are committed before it, or lost.
 func (m *model) changeLeader() {
-	pipeline := &m.decisions
+	pipeline := &m.pipeline
 	for _, proposal := range append(pipeline.abandoned, pipeline.inFlight) {
 		if proposal != nil && m.random.IntN(2) == 0 {
 			m.commit(proposal)
 		}
 	}
-	pipeline.inFlight, pipeline.abandoned, pipeline.waiting = nil, nil, nil
-	m.held = nil
+	pipeline.inFlight, pipeline.abandoned, pipeline.pending = nil, nil, nil
+	m.pendingAnswers = nil
 	m.core.Lead(m.now)
 }
 
-func (m *model) answerAll(answers []heldAnswer) {
+func (m *model) queueAnswers(answers []pendingAnswer) {
 	for _, answer := range answers {
-		m.answerSoon(answer)
+		m.queueAnswer(answer)
 	}
 }
 
-// answerSoon answers a heartbeat once the controller comes to it, which takes a while
-// where it is busy.
-func (m *model) answerSoon(answer heldAnswer) {
+// queueAnswer queues the answer to a heartbeat. A busy controller sends it after a delay.
+func (m *model) queueAnswer(answer pendingAnswer) {
 	answer.notBefore = m.now
-	if m.chance(30) {
+	if m.faultChance(30) {
 		answer.notBefore += time.Duration(m.random.IntN(200)) * time.Millisecond
 	}
-	m.held = append(m.held, answer)
+	m.pendingAnswers = append(m.pendingAnswers, answer)
 }
 
-// answerHeld gives the answers that wait for nothing any more.
-func (m *model) answerHeld() {
-	waiting := m.held
-	m.held = nil
-	for _, due := range waiting {
+// sendDueAnswers sends the queued answers that are due.
+func (m *model) sendDueAnswers() {
+	pending := m.pendingAnswers
+	m.pendingAnswers = nil
+	for _, due := range pending {
 		if due.notBefore > m.now {
-			m.held = append(m.held, due)
+			m.pendingAnswers = append(m.pendingAnswers, due)
 			continue
 		}
 		m.answer(due)
 	}
 }
 
-// marksSilent reports whether commands say that an instance is silent.
+// marksSilent reports whether commands mark an instance as silent.
 func marksSilent(commands []directory.Command, id directory.InstanceID) bool {
 	return slices.ContainsFunc(commands, func(command directory.Command) bool {
 		return slices.ContainsFunc(command.Instances, func(instance directory.Instance) bool {
@@ -203,27 +201,27 @@
 	})
 }
 
-// silentInstanceReturns lets the lease of an instance end, and its heartbeats come again
-// while the batch that passes on its keys takes long to commit.
+// silentInstanceReturns lets the lease of an instance expire, and lets its heartbeats arrive again while the
+// batch that reassigns its keys takes long to commit.
 func silentInstanceReturns(t *testing.T, abandons bool) *model {
 	m := newModel(t, 1)
 	m.faults = false
 	m.withoutDemand = true
-	m.decisions.abandons = abandons
+	m.pipeline.abandonsProposals = abandons
 	m.run(6 * time.Second)
 	returning := m.instances[0]
-	returning.cutUntil = m.now + time.Hour
-	m.decisions.slow = func(commands []directory.Command) bool { return marksSilent(commands, returning.id) }
+	returning.unreachableUntil = m.now + time.Hour
+	m.pipeline.slowToCommit = func(commands []directory.Command) bool { return marksSilent(commands, returning.id) }
 	deadline := m.now + 2*m.core.config.Lease
-	for m.decisions.inFlight == nil || !marksSilent(m.decisions.inFlight.commands, returning.id) {
+	for m.pipeline.inFlight == nil || !marksSilent(m.pipeline.inFlight.commands, returning.id) {
 		if m.now > deadline {
-			t.Fatal("the keys of the instance were not passed on")
+			t.Fatal("the keys of the instance were not reassigned")
 		}
 		m.step()
 	}
-	returning.cutUntil = 0
-	// The heartbeat is the first that the controller decides after the proposal was given up.
-	m.decisions.waiting = nil
+	returning.unreachableUntil = 0
+	// The heartbeat is the first one that the controller decides on after the proposal was given up.
+	m.pipeline.pending = nil
 	m.now += modelProposalTimeout
 	m.beat(returning)
 	m.decide()
@@ -231,31 +229,31 @@
 	return m
 }
 
-// TestReturningInstanceWaitsForTheLog: an instance that returns while its keys are being
-// passed on does not get them back beside their next holder.
+// TestReturningInstanceWaitsForTheLog checks that an instance that returns while its keys are being
+// reassigned does not get them back in addition to their next holder.
 func TestReturningInstanceWaitsForTheLog(t *testing.T) {
 	if m := silentInstanceReturns(t, false); m.failure != "" {
 		t.Errorf("%s\n%s", m.failure, strings.Join(m.trace, "\n"))
 	}
 }
 
-// TestModelCatchesLateRenewal: the check sees a controller that may take the keys of an
-// instance between its heartbeat and the answer to it.
+// TestModelCatchesLateRenewal checks that the model detects a controller that may reassign the keys of an
+// instance between its heartbeat and the answer.
 func TestModelCatchesLateRenewal(t *testing.T) {
 	const seeds = 30
 	for seed := range uint64(seeds) {
 		m := newModel(t, seed)
-		m.decisions.renewsLate = true
+		m.pipeline.renewsLate = true
 		m.run(40 * time.Second)
 		if strings.Contains(m.failure, "is held by") {
 			return
 		}
 	}
-	t.Error("keys that were taken before the answer granted them were not noticed")
+	t.Error("the model did not detect keys that were reassigned before the answer granted them")
 }
 
-// TestModelCatchesAbandonedProposals: the check sees a controller that decides its next
-// batch before it knows whether the last one was committed.
+// TestModelCatchesAbandonedProposals checks that the model detects a controller that decides its next batch
+// before the outcome of the previous one is known.
 func TestModelCatchesAbandonedProposals(t *testing.T) {
 	if m := silentInstanceReturns(t, true); !strings.Contains(m.failure, "is held by") {
 		t.Errorf("failure %q, want two holders", m.failure)
--- a/internal/heartbeat/model_test.go
+++ b/internal/heartbeat/model_test.go
@@ -19,32 +19,31 @@
 	callTimeout = time.Second
 )
 
-// mostRows is how many rows an answer of 4 KiB has room for, see TestAnswerSize in
-// directoryapi.
-const mostRows = 165
+// modelMaxRanges is the number of ranges that fit an answer of 4 KiB, see TestAnswerSize in directoryapi.
+const modelMaxRanges = 165
 
-// modelInstance keeps leases as docs/BACKEND.md asks of an instance.
+// modelInstance manages leases as docs/BACKEND.md requires of an instance.
 type modelInstance struct {
-	id       directory.InstanceID
-	address  string
-	alive    bool
-	draining bool
-	sequence uint64
-	next     time.Duration
-	held     []Held
-	leaseEnd time.Duration
-	// work is until when each row that was let go is still worked on.
-	work     map[Held]time.Duration
-	released []Released
-	// rate is how fast its clock runs: a slow one lets it hold for longer.
-	rate float64
-	// cutUntil is until when none of its heartbeats arrives.
-	cutUntil time.Duration
-	seen     map[directory.Key]directory.Fence
+	id            directory.InstanceID
+	address       string
+	alive         bool
+	draining      bool
+	sequence      uint64
+	nextHeartbeat time.Duration
+	held          []Held
+	leaseEnd      time.Duration
+	// inProgress is until when requests are in progress for each range that is being released.
+	inProgress map[Held]time.Duration
+	released   []Released
+	// clockRate is the relative duration of a lease on its clock: with a slow clock it holds keys for longer.
+	clockRate float64
+	// unreachableUntil is until when none of its heartbeats arrives.
+	unreachableUntil time.Duration
+	seen             map[directory.Key]directory.Fence
 }
 
-// flight is an answer on its way.
-type flight struct {
+// answerInFlight is an answer that has been sent and not received yet.
+type answerInFlight struct {
 	at       time.Duration
 	sentAt   time.Duration
 	instance *modelInstance
@@ -52,42 +51,42 @@
 	grant    Grant
 }
 
-// heldAnswer is an answer that a controller holds back, or has not come to yet.
-type heldAnswer struct {
+// pendingAnswer is an answer that a controller holds back or has not processed yet.
+type pendingAnswer struct {
 	receivedAt time.Duration
-	// notBefore is when the controller comes to it.
+	// notBefore is the earliest time at which the controller processes it.
 	notBefore time.Duration
 	instance  *modelInstance
 	beat      Beat
 }
 
-// model is a group of controllers as seen by instances: one leads, the directory is
-// what a quorum agreed on.
+// model simulates a group of controllers as seen by instances: one controller leads, and the directory
+// contains what a quorum has committed.
 type model struct {
-	t         *testing.T
-	random    *rand.Rand
-	now       time.Duration
-	core      *Core
-	view      *directory.Directory
-	revision  directory.Revision
-	instances []*modelInstance
-	flights   []flight
-	held      []heldAnswer
-	// decisions are put in force as a controller does it.
-	decisions decisionPipeline
-	// heldBack counts the answers that waited for news.
+	t               *testing.T
+	random          *rand.Rand
+	now             time.Duration
+	core            *Core
+	view            *directory.Directory
+	revision        directory.Revision
+	instances       []*modelInstance
+	answersInFlight []answerInFlight
+	pendingAnswers  []pendingAnswer
+	// pipeline commits decisions as a controller does.
+	pipeline decisionPipeline
+	// heldBack is how often an answer was held back.
 	heldBack int
-	// holder is who last held a key, with its fence.
-	fences map[directory.Key]directory.Fence
-	owners map[directory.Key]directory.InstanceID
-	trace  []string
-	names  int
-	// faults are off towards the end, so that all keys are held again.
+	// fences and owners are the last fence and holder of each key.
+	fences       map[directory.Key]directory.Fence
+	owners       map[directory.Key]directory.InstanceID
+	trace        []string
+	startedCount int
+	// faults enables faults. They are off towards the end, so that all keys get holders again.
 	faults bool
-	// withoutDemand leaves keys where they are unless instances come or go.
+	// withoutDemand disables demand, so that keys move only when instances join or leave.
 	withoutDemand bool
-	moves         int
-	// failure is what was found wrong first.
+	layoutChanges int
+	// failure is the first failure found.
 	failure string
 	// heldAt is when each probed key was last held.
 	heldAt map[directory.Key]time.Duration
@@ -115,13 +114,13 @@
 }
 
 func (m *model) start(address string) {
-	m.names++
+	m.startedCount++
 	if address == "" {
-		address = fmt.Sprintf("127.0.0.1:%d", m.names)
+		address = fmt.Sprintf("127.0.0.1:%d", m.startedCount)
 	}
 	m.instances = append(m.instances, &modelInstance{
-		id: directory.InstanceID(fmt.Sprintf("i%d", m.names)), address: address, alive: true, next: m.now,
-		work: make(map[Held]time.Duration), rate: 1 + 0.02*m.random.Float64(), seen: make(map[directory.Key]directory.Fence),
+		id: directory.InstanceID(fmt.Sprintf("i%d", m.startedCount)), address: address, alive: true, nextHeartbeat: m.now,
+		inProgress: make(map[Held]time.Duration), clockRate: 1 + 0.02*m.random.Float64(), seen: make(map[directory.Key]directory.Fence),
 	})
 }
 
@@ -130,96 +129,95 @@
 	return m.view.Apply(m.revision, command) == nil
 }
 
-func (m *model) note(format string, arguments ...any) {
+func (m *model) tracef(format string, arguments ...any) {
 	m.trace = append(m.trace, fmt.Sprintf("%8s ", m.now)+fmt.Sprintf(format, arguments...))
 }
 
-// fail keeps the first failure.
+// fail stores the first failure.
 func (m *model) fail(format string, arguments ...any) {
 	if m.failure == "" {
 		m.failure = fmt.Sprintf(format, arguments...)
 	}
 }
 
-// run steps until a time, or until something failed.
+// run steps until a time, or until a failure.
 func (m *model) run(until time.Duration) {
 	for m.now < until && m.failure == "" {
 		m.step()
 	}
 }
 
-func (m *model) chance(percent int) bool { return m.faults && m.random.IntN(100) < percent }
+func (m *model) faultChance(percent int) bool { return m.faults && m.random.IntN(100) < percent }
 
-// step advances the time by one step.
+// step advances the simulation by modelStep.
 func (m *model) step() {
 	m.now += modelStep
 	if m.random.IntN(1000) < 4 && m.faults {
-		m.note("a new leader")
+		m.tracef("new leader")
 		m.changeLeader()
 	}
 	if m.random.IntN(1000) < 8 && m.faults {
-		m.disturb()
+		m.injectFault()
 	}
 	if m.random.IntN(5) == 0 {
 		m.countDemand()
-		m.decisions.waiting = append(m.decisions.waiting, modelDecision{})
+		m.pipeline.pending = append(m.pipeline.pending, modelDecision{})
 	}
 	m.decide()
 	for _, instance := range m.instances {
 		instance.expire(m.now)
-		if instance.alive && m.now >= instance.next {
+		if instance.alive && m.now >= instance.nextHeartbeat {
 			m.beat(instance)
 		}
 	}
-	m.answerHeld()
+	m.sendDueAnswers()
 	m.deliver()
-	m.check()
+	m.checkInvariants()
 }
 
-// disturb crashes, restarts, cuts off, drains or adds an instance.
-func (m *model) disturb() {
+// injectFault crashes, restarts, disconnects, drains or adds an instance.
+func (m *model) injectFault() {
 	instance := m.instances[m.random.IntN(len(m.instances))]
 	switch m.random.IntN(5) {
 	case 0:
-		m.note("%s crashes", instance.id)
+		m.tracef("%s crashes", instance.id)
 		instance.alive = false
 	case 1:
 		if instance.alive {
-			m.note("%s restarts", instance.id)
+			m.tracef("%s restarts", instance.id)
 			instance.alive = false
 			m.start(instance.address)
 		}
 	case 2:
-		m.note("%s drains", instance.id)
+		m.tracef("%s drains", instance.id)
 		instance.draining = true
 	case 3:
-		m.cutOff(instance)
+		m.dropHeartbeats(instance)
 	default:
-		m.note("another one starts")
+		m.tracef("another instance starts")
 		m.start("")
 	}
 }
 
-// cutOff loses the heartbeats of an instance. They arrive again about when its lease has
-// ended.
-func (m *model) cutOff(instance *modelInstance) {
-	if m.now < instance.cutUntil {
+// dropHeartbeats loses the heartbeats of an instance until about the time when its lease expires.
+func (m *model) dropHeartbeats(instance *modelInstance) {
+	if m.now < instance.unreachableUntil {
 		return
 	}
-	m.note("%s is cut off", instance.id)
-	instance.cutUntil = m.now + m.core.config.Lease*time.Duration(80+m.random.IntN(40))/100
+	m.tracef("%s is disconnected", instance.id)
+	instance.unreachableUntil = m.now + m.core.config.Lease*time.Duration(80+m.random.IntN(40))/100
 }
 
-// countDemand reports demand for few neighbouring keys, which change.
+// countDemand reports demand for a few adjacent keys, which change over time.
 func (m *model) countDemand() {
 	if m.withoutDemand {
 		return
 	}
-	const apart = 16
-	hot := uint16(m.now/(5*time.Second)) * 97 * apart
+	const spacing = 16
+	hot := uint16(m.now/(5*time.Second)) * 97 * spacing
 	report := Report{Service: modelService}
 	for offset := range uint16(8) {
-		report.Keys = append(report.Keys, hot+offset*apart)
+		report.Keys = append(report.Keys, hot+offset*spacing)
 		report.Counts = append(report.Counts, uint16(m.random.IntN(12)))
 	}
 	for _, instance := range m.instances {
@@ -228,31 +226,32 @@
 	m.core.Count(m.now, report)
 }
 
+// beat sends a heartbeat. Some are lost.
 func (m *model) beat(instance *modelInstance) {
 	instance.sequence++
-	instance.next = m.now + modelInterval
-	if len(instance.work) > 0 || len(instance.released) > 0 {
-		instance.next = m.now + 100*time.Millisecond
+	instance.nextHeartbeat = m.now + modelInterval
+	if len(instance.inProgress) > 0 || len(instance.released) > 0 {
+		instance.nextHeartbeat = m.now + 100*time.Millisecond
 	}
 	beat := Beat{
 		Instance: instance.id, Service: modelService, Address: instance.address, Slots: 2, Draining: instance.draining,
-		Sequence: instance.sequence, Held: instance.rows(), Released: slices.Clone(instance.released),
+		Sequence: instance.sequence, Held: instance.ranges(), Released: slices.Clone(instance.released),
 	}
-	if m.chance(10) || m.now < instance.cutUntil {
+	if m.faultChance(10) || m.now < instance.unreachableUntil {
 		return
 	}
-	received := heldAnswer{receivedAt: m.now, instance: instance, beat: beat}
+	received := pendingAnswer{receivedAt: m.now, instance: instance, beat: beat}
 	if m.core.Renew(m.now, beat, m.view) {
-		m.answerSoon(received)
+		m.queueAnswer(received)
 		return
 	}
-	m.decisions.waiting = append(m.decisions.waiting, modelDecision{beat: &received})
+	m.pipeline.pending = append(m.pipeline.pending, modelDecision{answer: &received})
 }
 
-// answer sends an answer, unless it is held back for news.
-func (m *model) answer(due heldAnswer) {
+// answer sends an answer, unless it is held back. Some are lost or late.
+func (m *model) answer(due pendingAnswer) {
 	if m.core.HoldBack(m.now, due.receivedAt, due.beat, m.view) {
-		m.held = append(m.held, due)
+		m.pendingAnswers = append(m.pendingAnswers, due)
 		m.heldBack++
 		return
 	}
@@ -261,46 +260,48 @@
 	}
 	instance := due.instance
 	grant := m.core.Answer(instance.id, m.view)
-	if m.decisions.renewsLate {
-		m.core.contacts[instance.id].leaseEnd = due.receivedAt + m.core.waitFor(m.core.config.Lease)
+	if m.pipeline.renewsLate {
+		m.core.heartbeats[instance.id].leaseEnd = due.receivedAt + m.core.waitFor(m.core.config.Lease)
 	}
-	if len(grant.Holdings) > mostRows {
-		m.fail("%s gets %d rows", instance.id, len(grant.Holdings))
+	if len(grant.Holdings) > modelMaxRanges {
+		m.fail("%s is granted %d ranges", instance.id, len(grant.Holdings))
 	}
-	if m.chance(10) {
+	if m.faultChance(10) {
 		return
 	}
 	delay := time.Duration(m.random.IntN(60)) * time.Millisecond
-	if m.chance(10) {
+	if m.faultChance(10) {
 		delay = time.Duration(m.random.IntN(1500)) * time.Millisecond
 	}
-	m.flights = append(m.flights, flight{at: m.now + delay, sentAt: due.receivedAt, instance: instance, sequence: due.beat.Sequence, grant: grant})
+	m.answersInFlight = append(m.answersInFlight, answerInFlight{at: m.now + delay, sentAt: due.receivedAt, instance: instance, sequence: due.beat.Sequence, grant: grant})
 }
 
+// deliver passes the answers that arrive to their instances.
 func (m *model) deliver() {
-	m.flights = slices.DeleteFunc(m.flights, func(arriving flight) bool {
+	m.answersInFlight = slices.DeleteFunc(m.answersInFlight, func(arriving answerInFlight) bool {
 		if arriving.at > m.now {
 			return false
 		}
 		instance := arriving.instance
-		// An answer that comes too late, or to an earlier heartbeat, is not taken.
+		// An answer that arrives too late, or answers an earlier heartbeat, is ignored.
 		if instance.alive && arriving.sequence == instance.sequence && m.now-arriving.sentAt < callTimeout {
-			instance.take(m.now, arriving, m.random)
+			instance.applyGrant(m.now, arriving, m.random)
 		}
 		return true
 	})
 }
 
-// rows are the ranges that the instance holds or still works on.
-func (i *modelInstance) rows() []Held {
-	rows := slices.Clone(i.held)
-	for working := range i.work {
-		rows = append(rows, working)
+// ranges returns the ranges that the instance holds or has requests in progress for.
+func (i *modelInstance) ranges() []Held {
+	ranges := slices.Clone(i.held)
+	for working := range i.inProgress {
+		ranges = append(ranges, working)
 	}
-	return rows
+	return ranges
 }
 
-func (i *modelInstance) take(now time.Duration, answer flight, random *rand.Rand) {
+// applyGrant replaces the held ranges by those of an answer that renews the lease.
+func (i *modelInstance) applyGrant(now time.Duration, answer answerInFlight, random *rand.Rand) {
 	i.released = nil
 	if !answer.grant.Renewed {
 		return
@@ -311,18 +312,18 @@
 	}
 	for _, earlier := range i.held {
 		if !slices.Contains(next, earlier) {
-			i.work[earlier] = now + time.Duration(random.IntN(400))*time.Millisecond
+			i.inProgress[earlier] = now + time.Duration(random.IntN(400))*time.Millisecond
 		}
 	}
 	i.held = next
-	i.leaseEnd = answer.sentAt + time.Duration(float64(answer.grant.Lease)*i.rate)
+	i.leaseEnd = answer.sentAt + time.Duration(float64(answer.grant.Lease)*i.clockRate)
 }
 
-// expire ends the lease and the work that is done.
+// expire ends the requests that are done, and the lease once it has expired.
 func (i *modelInstance) expire(now time.Duration) {
-	for working, until := range i.work {
+	for working, until := range i.inProgress {
 		if now >= until || now >= i.leaseEnd {
-			delete(i.work, working)
+			delete(i.inProgress, working)
 			i.released = append(i.released, Released{Range: working.Range, Handover: "left"})
 		}
 	}
@@ -332,8 +333,8 @@
 	}
 }
 
-// probes are the keys that are checked: ends and middles, and those near the demand.
-func probes() []directory.Key {
+// probedKeys returns the keys that are checked: one in 509, and the last one.
+func probedKeys() []directory.Key {
 	var keys []directory.Key
 	for key := directory.Key(0); key <= directory.MaxKey; key += 509 {
 		keys = append(keys, key)
@@ -341,16 +342,16 @@
 	return append(keys, directory.MaxKey)
 }
 
-// check states what must always hold.
-func (m *model) check() {
-	for _, key := range probes() {
+// checkInvariants checks that no probed key has two holders.
+func (m *model) checkInvariants() {
+	for _, key := range probedKeys() {
 		var holder *modelInstance
 		for _, instance := range m.instances {
 			if !instance.alive {
 				continue
 			}
-			for _, row := range instance.rows() {
-				if key < row.First || key > row.Last {
+			for _, held := range instance.ranges() {
+				if key < held.First || key > held.Last {
 					continue
 				}
 				if holder != nil && holder != instance {
@@ -358,65 +359,65 @@
 				}
 				holder = instance
 				m.heldAt[key] = m.now
-				m.checkFence(key, row, instance)
+				m.checkFence(key, held, instance)
 			}
 		}
 	}
 }
 
-func (m *model) checkFence(key directory.Key, row Held, instance *modelInstance) {
+// checkFence checks that a key passes to another instance only with a higher fence.
+func (m *model) checkFence(key directory.Key, held Held, instance *modelInstance) {
 	if m.owners[key] == instance.id {
-		// A row that is still worked on may be told beside the newer one.
-		m.fences[key] = max(m.fences[key], row.Fence)
+		// A range with requests in progress may be reported beside the newer one.
+		m.fences[key] = max(m.fences[key], held.Fence)
 		return
 	}
-	if row.Fence <= m.fences[key] {
-		m.fail("at %s key %d passed from %s to %s with fence %d after %d", m.now, key, m.owners[key], instance.id, row.Fence, m.fences[key])
+	if held.Fence <= m.fences[key] {
+		m.fail("at %s key %d passed from %s to %s with fence %d after %d", m.now, key, m.owners[key], instance.id, held.Fence, m.fences[key])
 	}
-	m.fences[key] = row.Fence
+	m.fences[key] = held.Fence
 	m.owners[key] = instance.id
 }
 
-// TestLeasesNeverOverlap drives the core with instances that crash, restart, drain
-// and come, with heartbeats and answers that are lost or late and leaders that
-// change, over many seeds: no key ever has two holders, fences only rise, and once
-// the faults end every key is held.
+// TestLeasesNeverOverlap simulates instances that crash, restart, drain and join, heartbeats and answers that
+// are lost or late, and leaders that change, over many seeds. No key may ever have two holders, fences may
+// only rise, and every key must be held once the faults end.
 func TestLeasesNeverOverlap(t *testing.T) {
 	const seeds = 60
-	// These two had a key with two holders: see TestReturnedInstanceWaitsForItsBatch.
-	played := []uint64{485, 1081}
+	// With these two seeds a key had two holders: see TestReturnedInstanceWaitsForItsBatch.
+	seedsToRun := []uint64{485, 1081}
 	for seed := range uint64(seeds) {
-		played = append(played, seed)
+		seedsToRun = append(seedsToRun, seed)
 	}
-	moves, heldBack := 0, 0
-	for _, seed := range played {
+	layoutChanges, heldBack := 0, 0
+	for _, seed := range seedsToRun {
 		m := newModel(t, seed)
 		m.run(40 * time.Second)
 		m.faults = false
 		m.start("")
-		calm := m.now
-		m.run(calm + 14*time.Second)
-		for _, key := range probes() {
-			if m.heldAt[key] < calm+9*time.Second {
+		faultsEndedAt := m.now
+		m.run(faultsEndedAt + 14*time.Second)
+		for _, key := range probedKeys() {
+			if m.heldAt[key] < faultsEndedAt+9*time.Second {
 				m.fail("key %d was last held at %s", key, m.heldAt[key])
 			}
 		}
-		moves += m.moves
+		layoutChanges += m.layoutChanges
 		heldBack += m.heldBack
 		if m.failure != "" {
 			t.Fatalf("seed %d: %s\n%s", seed, m.failure, strings.Join(m.trace, "\n"))
 		}
 	}
-	if moves < seeds {
-		t.Errorf("only %d changes of layouts: the model moves too little", moves)
+	if layoutChanges < seeds {
+		t.Errorf("only %d layout changes: the model does not exercise enough moves", layoutChanges)
 	}
 	if heldBack < 100*seeds {
 		t.Errorf("only %d answers were held back", heldBack)
 	}
 }
 
-// TestModelCatchesEarlyReassignment: the check sees a core that does not wait for
-// leases to end.
+// TestModelCatchesEarlyReassignment checks that the model detects a core that does not wait for leases to
+// expire.
 func TestModelCatchesEarlyReassignment(t *testing.T) {
 	for seed := range uint64(20) {
 		m := newModel(t, seed)
@@ -427,11 +428,11 @@
 			return
 		}
 	}
-	t.Error("keys that pass on before their lease has ended were not noticed")
+	t.Error("the model did not detect keys that were reassigned before their lease expired")
 }
 
-// TestAnswersStaySmall: when most instances are lost one after the other, the ranges
-// of those that remain are joined, and all keys are held.
+// TestAnswersStaySmall checks that when most instances are lost one after the other, the ranges of the
+// remaining ones are merged and all keys are held.
 func TestAnswersStaySmall(t *testing.T) {
 	m := newModel(t, 1)
 	m.faults = false
@@ -445,7 +446,7 @@
 		m.run(m.now + 5*time.Second)
 	}
 	m.run(m.now + 10*time.Second)
-	for _, key := range probes() {
+	for _, key := range probedKeys() {
 		if m.heldAt[key] < m.now-2*time.Second {
 			m.fail("key %d was last held at %s", key, m.heldAt[key])
 		}
--- a/internal/heartbeat/poll.go
+++ b/internal/heartbeat/poll.go
@@ -8,42 +8,41 @@
 	"github.com/thorntiller/thorntiller/internal/directory"
 )
 
-// An answer to a heartbeat may be held back for a moment (a long poll): the instance
-// can then be told of keys at once instead of at its next heartbeat. Keys that move are
-// without a holder only until their next holder is told, so that most moves cost a
-// round trip in place of a heartbeat interval.
+// The answer to a heartbeat may be held back for a short time (long polling), so that the instance
+// learns of new keys at once instead of at its next heartbeat. Keys that move have no holder until the
+// next one is notified, so most moves take a round trip instead of a heartbeat interval.
 
-// decisionMargin is kept of the time that an answer is held back: what is decided must
-// be agreed on by a quorum before it is told. A commit takes two disk syncs and a round
-// trip, some 15 ms on the machines measured.
-const decisionMargin = 80 * time.Millisecond
+// commitMargin is the part of the hold-back time that is reserved for the commit: a decision needs a
+// quorum before it is sent. A commit takes two disk syncs and a round trip, about 15 ms on the
+// machines measured.
+const commitMargin = 80 * time.Millisecond
 
-// HoldBack reports whether the answer to an instance's newest heartbeat, received at a
-// time, has no news for it and may wait for some. It must be called where Answer could be.
+// HoldBack reports whether the answer to an instance's newest heartbeat, received at receivedAt, should
+// wait because there is nothing new for the instance. It may be called only where Answer may be.
 func (c *Core) HoldBack(now, receivedAt time.Duration, beat Beat, view *directory.Directory) bool {
-	known := c.contacts[beat.Instance]
+	state := c.heartbeats[beat.Instance]
 	if !c.Newest(beat) || beat.Draining || c.config.HoldBack == 0 {
 		return false
 	}
 	service, found := view.Service(beat.Service)
-	if !found || !service.Keyed || now >= receivedAt+c.config.HoldBack || c.hasNews(known, beat, view) {
-		known.answerableUntil = 0
+	if !found || !service.Keyed || now >= receivedAt+c.config.HoldBack || c.hasChangedKeys(state, beat, view) {
+		state.answerableUntil = 0
 		return false
 	}
-	known.answerableUntil = receivedAt + c.config.HoldBack - decisionMargin
+	state.answerableUntil = receivedAt + c.config.HoldBack - commitMargin
 	return true
 }
 
-// Newest reports whether no later heartbeat of the instance has come. An answer to an
-// earlier one renews nothing: the instance has given it up.
+// Newest reports whether no later heartbeat of the instance has been received. An answer to an earlier
+// heartbeat renews nothing, since the instance no longer waits for it.
 func (c *Core) Newest(beat Beat) bool {
-	known, met := c.contacts[beat.Instance]
-	return met && known.sequence == beat.Sequence
+	state, tracked := c.heartbeats[beat.Instance]
+	return tracked && state.sequence == beat.Sequence
 }
 
-// hasNews reports whether the keys that an instance is to hold differ from those that
-// it told of.
-func (c *Core) hasNews(known *contact, beat Beat, view *directory.Directory) bool {
+// hasChangedKeys reports whether the keys that an instance is to hold differ from those in its
+// heartbeat. It also returns true for an instance that is not ready.
+func (c *Core) hasChangedKeys(state *heartbeatState, beat Beat, view *directory.Directory) bool {
 	instance, found := view.Instance(beat.Instance)
 	if !found || instance.State != directory.InstanceReady {
 		return true
@@ -53,61 +52,61 @@
 		if holding.Revoked || !holding.Granted {
 			continue
 		}
-		if !known.holds(holding) {
+		if !state.holds(holding) {
 			return true
 		}
 		count++
 	}
-	return count != len(known.held)
+	return count != len(state.held)
 }
 
-// reachable reports whether an answer to an instance waits for news.
-func (c *Core) reachable(now time.Duration, id directory.InstanceID) bool {
-	known, met := c.contacts[id]
-	return met && now < known.answerableUntil
+// answerPending reports whether an answer to an instance is held back and can still carry a decision.
+func (c *Core) answerPending(now time.Duration, id directory.InstanceID) bool {
+	state, tracked := c.heartbeats[id]
+	return tracked && now < state.answerableUntil
 }
 
-// tellReachable marks what the answers that wait will tell, and joins the ranges of
-// instances that then have too many for an answer.
-func (d *draft) tellReachable() {
-	told := make(map[directory.InstanceID]bool)
-	d.walks++
+// grantPending marks the holdings that pending answers will contain, and merges the ranges of instances
+// that then have too many for an answer.
+func (d *draft) grantPending() {
+	granted := make(map[directory.InstanceID]bool)
+	d.layoutScans++
 	for index := range d.layout.Holdings {
 		holding := &d.layout.Holdings[index]
-		if holding.Owner == "" || holding.Revoked || holding.Granted || !d.core.reachable(d.now, holding.Owner) {
+		if holding.Owner == "" || holding.Revoked || holding.Granted || !d.core.answerPending(d.now, holding.Owner) {
 			continue
 		}
 		holding.Granted = true
 		d.changed = true
-		told[holding.Owner] = true
+		granted[holding.Owner] = true
 	}
-	for _, id := range slices.Sorted(maps.Keys(told)) {
-		d.join(id)
+	for _, id := range slices.Sorted(maps.Keys(granted)) {
+		d.mergeRanges(id)
 	}
 }
 
-// offloadReachable begins to move keys away from busy instances whose answers wait.
-func (d *draft) offloadReachable() {
-	for _, each := range d.candidates {
-		if d.core.reachable(d.now, each.id) {
-			d.offload(each.id)
+// offloadPending starts to move keys away from busy instances whose answers are pending.
+func (d *draft) offloadPending() {
+	for _, candidate := range d.candidates {
+		if d.core.answerPending(d.now, candidate.id) {
+			d.offload(candidate.id)
 		}
 	}
 }
 
-// busyReachable reports whether an instance whose answer waits has more demand than
-// most, so that its keys may move now.
-func (b *Batch) busyReachable(service string) bool {
+// busyInstancePending reports whether the answer to a busy instance is pending, so that its keys can be
+// moved now.
+func (b *Batch) busyInstancePending(service string) bool {
 	index := b.core.index(service, b.view)
-	if index.moving >= b.core.mostMoves(len(index.owned)) {
+	if index.moving >= b.core.maxMoves(len(index.owned)) {
 		return false
 	}
-	busy := b.core.busyFrom(b.now, service, b.view)
+	threshold := b.core.busyThreshold(b.now, service, b.view)
 	for id, owned := range index.owned {
-		if !b.core.reachable(b.now, id) {
+		if !b.core.answerPending(b.now, id) {
 			continue
 		}
-		if instance, found := b.view.Instance(id); found && b.core.used(b.now, instance, owned) >= busy {
+		if instance, found := b.view.Instance(id); found && b.core.certainUtilisation(b.now, instance, owned) >= threshold {
 			return true
 		}
 	}
--- a/internal/heartbeat/poll_test.go
+++ b/internal/heartbeat/poll_test.go
@@ -8,8 +8,8 @@
 	"github.com/thorntiller/thorntiller/internal/directory"
 )
 
-// overload counts demand for keys of instance a that it cannot serve.
-func (s *script) overload() {
+// reportOverload reports more demand for keys of instance a than it can serve.
+func (s *script) reportOverload() {
 	for range 5 {
 		s.now += 20 * time.Millisecond
 		report := Report{Service: "s"}
@@ -23,8 +23,8 @@
 	}
 }
 
-// wait sends a heartbeat whose answer is held back.
-func (s *script) wait(id directory.InstanceID) Beat {
+// beatHeldBack sends a heartbeat whose answer is held back.
+func (s *script) beatHeldBack(id directory.InstanceID) Beat {
 	s.t.Helper()
 	s.sequence[id]++
 	beat := Beat{Instance: id, Service: "s", Address: "address-" + string(id), Slots: 2, Sequence: s.sequence[id]}
@@ -34,7 +34,7 @@
 		}
 	}
 	if !s.core.Renew(s.now, beat, s.view) {
-		s.t.Fatalf("%s: the heartbeat changes something", id)
+		s.t.Fatalf("%s: Renew rejected the heartbeat", id)
 	}
 	if !s.core.HoldBack(s.now, s.now, beat, s.view) {
 		s.t.Fatalf("%s: the answer is not held back", id)
@@ -42,29 +42,29 @@
 	return beat
 }
 
-// TestMovedKeysAreToldAtOnce: an instance whose answer is held back lets keys go, and the
-// one that gets them is told, without a further regular heartbeat of either.
+// TestMovedKeysAreToldAtOnce checks that keys move from an instance whose answer is held back to another one
+// without a further regular heartbeat of either.
 func TestMovedKeysAreToldAtOnce(t *testing.T) {
-	s := founded(t)
+	s := newScriptWithLayout(t)
 	s.core.config.HoldBack = 600 * time.Millisecond
-	s.wait("a")
-	target := s.wait("b")
-	s.overload()
+	s.beatHeldBack("a")
+	target := s.beatHeldBack("b")
+	s.reportOverload()
 	s.tick(50 * time.Millisecond)
 	revoked := 0
-	for _, held := range s.view.Layout("s").Holdings {
-		if held.Revoked && held.Owner == "a" {
+	for _, holding := range s.view.Layout("s").Holdings {
+		if holding.Revoked && holding.Owner == "a" {
 			revoked++
 		}
 	}
 	if revoked == 0 {
-		t.Fatal("no keys of the busy instance are taken away while its answer waits")
+		t.Fatal("no keys of the busy instance are revoked while its answer is pending")
 	}
 	s.now += 100 * time.Millisecond
 	if _, err := s.beat("a", func(beat *Beat) {
-		for _, held := range s.view.Layout("s").Holdings {
-			if held.Owner == "a" && !held.Revoked {
-				beat.Held = append(beat.Held, Held{Range: rangeOf(held), Fence: held.Fence})
+		for _, holding := range s.view.Layout("s").Holdings {
+			if holding.Owner == "a" && !holding.Revoked {
+				beat.Held = append(beat.Held, Held{Range: rangeOf(holding), Fence: holding.Fence})
 			}
 		}
 	}); err != nil {
@@ -73,49 +73,49 @@
 	if s.core.HoldBack(s.now, s.now-150*time.Millisecond, target, s.view) {
 		t.Error("the answer to the target is held back although keys have moved to it")
 	}
-	for _, held := range s.view.Layout("s").Holdings {
-		if held.Owner == "" || held.Owner == "b" && !held.Granted {
-			t.Errorf("keys %d to %d wait for a heartbeat of the target", held.First, held.Last)
+	for _, holding := range s.view.Layout("s").Holdings {
+		if holding.Owner == "" || holding.Owner == "b" && !holding.Granted {
+			t.Errorf("keys %d to %d wait for a heartbeat of the target", holding.First, holding.Last)
 		}
 	}
 }
 
-// TestHeldBackAnswerCountsAsGranted: keys of an instance that falls silent while its
-// answer is held back pass on only once the lease of that answer has ended.
+// TestHeldBackAnswerCountsAsGranted checks that the keys of an instance that falls silent while its answer is
+// held back are reassigned only after the lease of that answer has expired.
 func TestHeldBackAnswerCountsAsGranted(t *testing.T) {
-	s := founded(t)
+	s := newScriptWithLayout(t)
 	s.core.config.HoldBack = 600 * time.Millisecond
 	s.now += 2 * time.Second
 	receivedAt := s.now
-	s.wait("a")
+	s.beatHeldBack("a")
 	for s.now < receivedAt+s.core.config.Lease {
 		s.tick(100 * time.Millisecond)
 		if _, err := s.beat("b", holding(half, directory.MaxKey, 1)); err != nil {
 			t.Fatal(err)
 		}
 		if held, _ := s.view.Layout("s").At(0); held.Owner != "a" {
-			t.Fatalf("key 0 passed on %s after a heartbeat whose answer was held back", s.now-receivedAt)
+			t.Fatalf("key 0 reassigned %s after a heartbeat whose answer was held back", s.now-receivedAt)
 		}
 	}
 }
 
-// TestSupersededAnswerIsNotHeld: once a later heartbeat came, the answer to an earlier
-// one is neither held back nor the newest.
+// TestSupersededAnswerIsNotHeld checks that the answer to an earlier heartbeat is neither held back nor
+// treated as the newest once a later heartbeat was received.
 func TestSupersededAnswerIsNotHeld(t *testing.T) {
-	s := founded(t)
+	s := newScriptWithLayout(t)
 	s.core.config.HoldBack = 600 * time.Millisecond
-	earlier := s.wait("a")
+	earlier := s.beatHeldBack("a")
 	s.now += 100 * time.Millisecond
-	s.wait("a")
+	s.beatHeldBack("a")
 	if s.core.Newest(earlier) || s.core.HoldBack(s.now, s.now-100*time.Millisecond, earlier, s.view) {
-		t.Error("the answer to an earlier heartbeat still counts")
+		t.Error("the answer to an earlier heartbeat is held back or counts as the newest")
 	}
 }
 
-// TestLeavingInstanceIsAnsweredAtOnce: an instance that leaves waits for the
-// acknowledgement of its heartbeat.
+// TestLeavingInstanceIsAnsweredAtOnce checks that the answer to an instance that leaves is not held back: the
+// instance waits for the acknowledgement of its heartbeat.
 func TestLeavingInstanceIsAnsweredAtOnce(t *testing.T) {
-	s := founded(t)
+	s := newScriptWithLayout(t)
 	s.core.config.HoldBack = 600 * time.Millisecond
 	beat := Beat{Instance: "a", Service: "s", Address: "address-a", Slots: 2, Sequence: s.sequence["a"] + 1, Draining: true}
 	commands, err := s.core.Receive(s.now, beat, s.view)
@@ -124,41 +124,40 @@
 	}
 	s.apply(commands...)
 	if s.core.HoldBack(s.now, s.now, beat, s.view) {
-		t.Error("the answer to an instance that leaves is held back")
+		t.Error("the answer to a draining instance is held back")
 	}
 }
 
-// TestUntoldKeysAreLeftOutOfTheAnswer: keys that are given to an instance after the last
-// moment at which its waiting answer could be marked are told by the next answer, so that
-// an answer never has ranges beyond those that were counted and joined.
+// TestUntoldKeysAreLeftOutOfTheAnswer checks that keys assigned to an instance too late for its pending answer
+// are granted by the next answer, so that an answer never contains ranges that were not counted and merged.
 func TestUntoldKeysAreLeftOutOfTheAnswer(t *testing.T) {
-	s := founded(t)
+	s := newScriptWithLayout(t)
 	s.core.config.HoldBack = 600 * time.Millisecond
 	receivedAt := s.now
-	beat := s.wait("a")
+	beat := s.beatHeldBack("a")
 	s.now += 590 * time.Millisecond
 	layout := s.view.Layout("s")
 	moved := directory.Holding{First: half, Last: half + 99, Fence: 2, Owner: "a"}
-	rest := directory.Holding{First: half + 100, Last: directory.MaxKey, Fence: 1, Owner: "b", Granted: true}
-	s.apply(directory.Command{Layout: &directory.PutLayout{Service: "s", After: layout.Revision, Changed: []directory.Holding{moved, rest}}})
+	remaining := directory.Holding{First: half + 100, Last: directory.MaxKey, Fence: 1, Owner: "b", Granted: true}
+	s.apply(directory.Command{Layout: &directory.PutLayout{Service: "s", After: layout.Revision, Changed: []directory.Holding{moved, remaining}}})
 	if !s.core.HoldBack(s.now, receivedAt, beat, s.view) {
-		t.Error("the answer ends early for keys that it does not tell")
+		t.Error("the answer is sent early for keys that it does not contain")
 	}
 	grant := s.core.Answer("a", s.view)
 	if len(grant.Holdings) != 1 || grant.Holdings[0].Contains(half) {
-		t.Errorf("the answer tells %+v", grant.Holdings)
+		t.Errorf("the answer grants %+v", grant.Holdings)
 	}
 	grant, err := s.beat("a", holding(0, half-1, 1))
 	if err != nil || len(grant.Holdings) != 2 {
-		t.Errorf("the next answer tells %+v, %v", grant.Holdings, err)
+		t.Errorf("the next answer grants %+v, %v", grant.Holdings, err)
 	}
 }
 
-// slowHeartbeats counts the heartbeats of one round that need a look at the whole layout, of
-// instances that hold keys with some demand each, while as many others hold none.
-func slowHeartbeats(t *testing.T, instances int) int {
+// countSlowHeartbeats returns how many heartbeats of one round need a scan of the whole layout, in a service
+// where instances hold keys with some demand each and as many others hold none.
+func countSlowHeartbeats(t *testing.T, instances int) int {
 	t.Helper()
-	l := newLives(t)
+	l := newIncarnationScript(t)
 	l.core.config.Stripes = 2
 	now := 2 * time.Second
 	address := func(number int) string { return fmt.Sprintf("127.0.0.1:%d", number) }
@@ -203,14 +202,13 @@
 	return slow
 }
 
-// TestNewcomersDoNotSlowAllHeartbeatsDown: a heartbeat that needs a look at the whole layout costs
-// what grows with the instances, so that those that need one must be few, of many instances too:
-// as many as may give keys at the same time, and no more.
+// TestNewcomersDoNotSlowAllHeartbeatsDown checks that few heartbeats need a scan of the whole layout, whose
+// cost grows with the number of instances: no more than may give keys away at the same time.
 func TestNewcomersDoNotSlowAllHeartbeatsDown(t *testing.T) {
 	for _, instances := range []int{200, 400} {
-		slow := slowHeartbeats(t, instances)
-		if most := instances/4 + instances/instancesOfMove; slow > most || slow == 0 {
-			t.Errorf("%d of %d heartbeats looked at the whole layout, want 1 to %d", slow, instances, most)
+		slow := countSlowHeartbeats(t, instances)
+		if maxSlow := instances/4 + instances/instancesPerMove; slow > maxSlow || slow == 0 {
+			t.Errorf("%d of %d heartbeats scanned the whole layout, want 1 to %d", slow, instances, maxSlow)
 		}
 	}
 }
--- a/internal/heartbeat/rates.go
+++ b/internal/heartbeat/rates.go
@@ -7,75 +7,72 @@
 	"github.com/thorntiller/thorntiller/internal/directory"
 )
 
-const keys = int(directory.MaxKey) + 1
+// keyCount is the number of keys of a service.
+const keyCount = int(directory.MaxKey) + 1
 
-// keyRates has a rate for each key, in requests a second, that decays with time. The
-// rates are summed in a binary indexed tree, so that the rate of a range costs the
-// same whatever its width.
+// keyRates holds a rate in requests per second for each key, with exponential decay. The rates are
+// stored in a binary indexed tree, so the cost of summing a range does not depend on its width.
 type keyRates struct {
-	// window is how far back counts count: what came earlier counts by a factor of e
-	// less.
+	// window is the time constant of the decay.
 	window time.Duration
-	// since is when counting began.
-	since time.Duration
-	// sums is the tree, from position 1 on. Its values are those of weighedAt: they
-	// are divided by the weight of now when they are read.
-	// It is made at the first count: most services have no keys.
-	sums      []float64
-	weighedAt time.Duration
-	now       time.Duration
+	// startedAt is when counting started.
+	startedAt time.Duration
+	// sums is the tree, with indices from 1. Its values are relative to scaledAt: they are divided by
+	// weight when they are read. It is allocated at the first count, since most services have no keys.
+	sums     []float64
+	scaledAt time.Duration
+	now      time.Duration
 }
 
 func newKeyRates(now, window time.Duration) keyRates {
-	return keyRates{window: window, since: now, weighedAt: now, now: now}
+	return keyRates{window: window, startedAt: now, scaledAt: now, now: now}
 }
 
-// heaviest is the weight at which the values are weighed anew, so that they stay in
-// range.
-const heaviest = 1e6
+// maxWeight is the weight at which the values are rescaled, so that they stay in range.
+const maxWeight = 1e6
 
-// weight is by how much a count of now is to be raised beside the values.
+// weight is the factor by which a count at the current time is scaled up relative to the stored values.
 func (r *keyRates) weight() float64 {
-	return math.Exp((r.now - r.weighedAt).Seconds() / r.window.Seconds())
+	return math.Exp((r.now - r.scaledAt).Seconds() / r.window.Seconds())
 }
 
-// advance lets the rates decay until a time.
+// advance decays the rates up to now.
 func (r *keyRates) advance(now time.Duration) {
 	r.now = max(r.now, now)
 	weight := r.weight()
-	if weight < heaviest {
+	if weight < maxWeight {
 		return
 	}
 	for position := range r.sums {
 		r.sums[position] /= weight
 	}
-	r.weighedAt = r.now
+	r.scaledAt = r.now
 }
 
 // count adds requests for a key.
 func (r *keyRates) count(key directory.Key, requests float64) {
 	if r.sums == nil {
-		r.sums = make([]float64, keys+1)
+		r.sums = make([]float64, keyCount+1)
 	}
 	value := requests / r.window.Seconds() * r.weight()
-	for position := int(key) + 1; position <= keys; position += position & -position {
+	for position := int(key) + 1; position <= keyCount; position += position & -position {
 		r.sums[position] += value
 	}
 }
 
 // between returns the rate of a range of keys.
 func (r *keyRates) between(first, last directory.Key) float64 {
-	return max(0, r.below(int(last)+1)-r.below(int(first))) / r.weight()
+	return max(0, r.prefixSum(int(last)+1)-r.prefixSum(int(first))) / r.weight()
 }
 
-// filled returns the share of a lasting rate that has been counted by now: less than one
-// while counting has lasted for little more than the window.
-func (r *keyRates) filled() float64 {
-	return 1 - math.Exp(-(r.now-r.since).Seconds()/r.window.Seconds())
+// windowFill returns the share of a constant rate that has been counted by now. It is below one until
+// counting has lasted for several windows.
+func (r *keyRates) windowFill() float64 {
+	return 1 - math.Exp(-(r.now-r.startedAt).Seconds()/r.window.Seconds())
 }
 
-// below sums the values of the keys below one.
-func (r *keyRates) below(key int) float64 {
+// prefixSum returns the sum of the values of all keys below key.
+func (r *keyRates) prefixSum(key int) float64 {
 	if r.sums == nil {
 		return 0
 	}
@@ -86,8 +83,8 @@
 	return total
 }
 
-// widestFrom returns the last key of the widest range from a first key on, within a
-// bound, whose rate does not exceed one; below the first key if there is none.
+// widestFrom returns the last key of the widest range that starts at first, ends at bound at most, and
+// does not exceed a rate. It returns first-1 if there is none.
 func (r *keyRates) widestFrom(first, bound directory.Key, rate float64) directory.Key {
 	low, high := first-1, bound
 	for low < high {
@@ -101,7 +98,8 @@
 	return low
 }
 
-// widestTo is widestFrom for ranges that end at a last key.
+// widestTo returns the first key of the widest range that ends at last, starts at bound at least, and
+// does not exceed a rate. It returns last+1 if there is none.
 func (r *keyRates) widestTo(bound, last directory.Key, rate float64) directory.Key {
 	low, high := bound, last+1
 	for low < high {
