--- a/internal/heartbeat/rebalance.go
+++ b/internal/heartbeat/rebalance.go
@@ -7,91 +7,91 @@
 	"github.com/thorntiller/thorntiller/internal/directory"
 )
 
-// Bounds of moves for the sake of load.
+// Thresholds for moving keys between instances because of load.
 const (
-	// busyEnough is the share of an instance's slots that must be in use by the
-	// demand for its keys before any are moved away.
-	busyEnough = 0.45
-	// aboveMean is how many times the mean of all instances that share must be. Where
-	// all are busy alike, moves gain nothing.
-	aboveMean = 1.3
-	// overloaded is the share from which on keys are moved away in any case: the wait
-	// in a queue before two to four slots reaches the time of the work itself there.
-	overloaded = 0.8
-	// leastGain is by how much that share must fall, as a share of the difference to
-	// the instance that would take keys over.
-	leastGain = 0.1
-	// leastDifference is the least difference between the two.
-	leastDifference = 0.2
-	// gapCost is what a second without a holder costs, as a share of slots in use.
+	// minBusyUtilisation is the share of an instance's slots that the demand for its keys must keep in
+	// use before any are moved away.
+	minBusyUtilisation = 0.45
+	// aboveMeanFactor is how many times the mean utilisation that must be. If all instances are
+	// equally busy, moving keys gains nothing.
+	aboveMeanFactor = 1.3
+	// overloadUtilisation is the utilisation from which on keys are always moved away. With two to
+	// four slots, the queueing time reaches the service time there.
+	overloadUtilisation = 0.8
+	// minRelativeGain is the minimum rate that a single range must have to be moved, relative to the
+	// rate that is to be moved in total.
+	minRelativeGain = 0.1
+	// minUtilisationDifference is the minimum difference in utilisation between source and target.
+	minUtilisationDifference = 0.2
+	// gapCost is the cost of a second without a holder, as a share of slots in use.
 	gapCost = 1.0
-	// releaseTime is the time after which an instance that lets keys go sends its next
-	// heartbeat.
+	// releaseTime is the time after which an instance that releases keys sends its next heartbeat.
 	releaseTime = 100 * time.Millisecond
-	// unknownGap is expected of an instance whose heartbeats are not known yet.
-	unknownGap = time.Second
+	// assumedGap is the time without a holder assumed for an instance whose heartbeat interval is not
+	// known yet.
+	assumedGap = time.Second
 )
 
-// utilisation returns the share of an instance's slots that the demand for its keys
-// keeps in use.
-func (d *draft) utilisation(each *candidate) float64 {
-	return d.timeInSlots(each) * each.rate
+// utilisation returns the share of an instance's slots that the demand for its keys keeps in use.
+func (d *draft) utilisation(candidate *candidate) float64 {
+	return d.utilisationPerRate(candidate) * candidate.rate
 }
 
 func (d *draft) demand() *demand { return d.core.demandOf(d.now, d.layout.Service) }
 
-// measure sums the demand for the keys of each candidate, once in a draft. Keys that
-// are being moved count for the instance that they were taken away for.
-func (d *draft) measure() {
-	if d.measured {
+// measureDemand sums the demand for the keys of each candidate, once per draft. Keys that are being
+// moved count for their target.
+func (d *draft) measureDemand() {
+	if d.demandMeasured {
 		return
 	}
-	d.measured = true
-	d.walks++
+	d.demandMeasured = true
+	d.layoutScans++
 	demand := d.demand()
-	rates := make(map[*candidate]counted, len(d.candidates))
+	rates := make(map[*candidate]windowRates, len(d.candidates))
 	for _, holding := range d.layout.Holdings {
 		owner := d.candidate(holding.Owner)
 		if holding.Revoked || holding.Owner == "" {
-			owner = d.awaiting(holding)
+			owner = d.countIncoming(holding)
 		}
 		if owner != nil {
-			rates[owner] = rates[owner].plus(demand.counts(holding.First, holding.Last))
+			rates[owner] = rates[owner].plus(demand.windowRates(holding.First, holding.Last))
 		}
 	}
-	for owner, each := range rates {
-		estimated := demand.estimate(each)
+	for owner, counted := range rates {
+		estimated := demand.estimate(counted)
 		owner.rate = estimated.rate
-		owner.surely = estimated.atLeast()
+		owner.rateLowerBound = estimated.lowerBound()
 	}
-	for _, each := range d.candidates {
-		d.total += each.rate
-		if each.rows == 0 && each.awaited == 0 && each.warm {
-			d.newcomers = append(d.newcomers, each)
+	for _, candidate := range d.candidates {
+		d.totalRate += candidate.rate
+		if candidate.rangeCount == 0 && candidate.incoming == 0 && candidate.warm {
+			d.emptyCandidates = append(d.emptyCandidates, candidate)
 		}
 	}
-	d.busy = d.core.busyFrom(d.now, d.layout.Service, d.view)
+	d.busyThreshold = d.core.busyThreshold(d.now, d.layout.Service, d.view)
 }
 
-// awaiting returns the instance that keys are being moved to, and counts them for it.
-func (d *draft) awaiting(holding directory.Holding) *candidate {
+// countIncoming returns the candidate that a holding is being moved to, if any, and counts the holding
+// as incoming there.
+func (d *draft) countIncoming(holding directory.Holding) *candidate {
 	target := d.candidate(d.core.target(d.layout.Service, holding.First))
 	if target != nil {
-		target.awaited++
+		target.incoming++
 	}
 	return target
 }
 
-// offload begins to move keys away from an instance, whose heartbeat has just come,
-// if the demand for its keys is much above that of others.
+// offload starts to move keys away from an instance if the demand for its keys is high in comparison
+// with other instances. It is called for instances that can be notified at once.
 func (d *draft) offload(id directory.InstanceID) {
 	source := d.candidate(id)
-	if source == nil || d.moving >= d.core.mostMoves(len(d.candidates)) || d.movingFrom(id) {
+	if source == nil || d.moving >= d.core.maxMoves(len(d.candidates)) || d.hasRevoked(id) {
 		return
 	}
-	d.measure()
-	d.seedNewcomer(source)
-	if d.timeInSlots(source)*source.surely < d.busy {
+	d.measureDemand()
+	d.seedEmptyInstance(source)
+	if d.utilisationPerRate(source)*source.rateLowerBound < d.busyThreshold {
 		return
 	}
 	if d.isolate(source) {
@@ -99,65 +99,65 @@
 	}
 	targets, level := d.targets(source)
 	for _, target := range targets {
-		d.moveParts(source, target, (level-d.utilisation(target))/d.timeInSlots(target))
+		d.moveParts(source, target, (level-d.utilisation(target))/d.utilisationPerRate(target))
 	}
 }
 
-// busyFrom returns the share of an instance's slots in use from which on keys are moved
-// away from it.
-func (c *Core) busyFrom(now time.Duration, service string, view *directory.Directory) float64 {
+// busyThreshold returns the utilisation from which on keys are moved away from an instance.
+func (c *Core) busyThreshold(now time.Duration, service string, view *directory.Directory) float64 {
 	slots := c.index(service, view).slots
 	if slots == 0 {
-		return busyEnough
+		return minBusyUtilisation
 	}
 	demand := c.demandOf(now, service)
-	mean := demand.estimate(demand.counts(0, directory.MaxKey)).rate * demand.mean / float64(slots)
-	return min(max(busyEnough, aboveMean*mean), overloaded)
+	mean := demand.estimate(demand.windowRates(0, directory.MaxKey)).rate * demand.meanServiceTime / float64(slots)
+	return min(max(minBusyUtilisation, aboveMeanFactor*mean), overloadUtilisation)
 }
 
-// seedNewcomer begins to move a part of the source's keys to an instance that holds none, so
-// that one which joined serves as well, and its speed gets known. Those with more
-// demand than most give first.
-func (d *draft) seedNewcomer(source *candidate) {
-	if source.rate <= 0 || source.rate*float64(len(d.candidates)) < d.total {
+// seedEmptyInstance starts to move some of the source's keys to an instance that owns none, so that an
+// instance that joined takes load and its service time becomes known. Only instances with at least the
+// mean demand give keys away.
+func (d *draft) seedEmptyInstance(source *candidate) {
+	if source.rate <= 0 || source.rate*float64(len(d.candidates)) < d.totalRate {
 		return
 	}
-	newcomer := d.newcomer()
-	if newcomer == nil {
+	target := d.nextEmptyCandidate()
+	if target == nil {
 		return
 	}
-	const given = 0.5
-	d.moveParts(source, newcomer, given*source.rate)
+	const givenShare = 0.5
+	d.moveParts(source, target, givenShare*source.rate)
 }
 
-// newcomer returns a warm candidate that holds no keys and gets none; nil if there is none.
-func (d *draft) newcomer() *candidate {
-	for last := len(d.newcomers) - 1; last >= 0; last-- {
-		each := d.newcomers[last]
-		if each.rows == 0 && each.awaited == 0 && d.byID[each.id] != nil {
-			return each
+// nextEmptyCandidate returns a warm candidate that owns no keys and has none incoming; nil if there is
+// none.
+func (d *draft) nextEmptyCandidate() *candidate {
+	for last := len(d.emptyCandidates) - 1; last >= 0; last-- {
+		candidate := d.emptyCandidates[last]
+		if candidate.rangeCount == 0 && candidate.incoming == 0 && d.byID[candidate.id] != nil {
+			return candidate
 		}
-		d.newcomers = d.newcomers[:last]
+		d.emptyCandidates = d.emptyCandidates[:last]
 	}
 	return nil
 }
 
-// targets returns the instances that are to take over keys of a source, and the
-// share of their slots that is then in use at each of them and at the source: as few
-// as bring the source below the share from which on it is offloaded.
+// targets returns the instances that are to take over keys of a source, and the utilisation that each
+// of them and the source then has. It chooses as few targets as bring the source down to
+// minBusyUtilisation.
 func (d *draft) targets(source *candidate) ([]*candidate, float64) {
 	var chosen []*candidate
-	used := d.utilisation(source)
-	perRate := d.timeInSlots(source)
-	// The source gives what the targets take: level is where they meet.
-	level, given, taken := used, used, 1.0
-	for level > busyEnough {
+	sourceUtilisation := d.utilisation(source)
+	sourceCost := d.utilisationPerRate(source)
+	// The source gives away what the targets take: level is the utilisation at which they meet.
+	level, given, taken := sourceUtilisation, sourceUtilisation, 1.0
+	for level > minBusyUtilisation {
 		next := d.bestTarget(source, chosen)
-		if next == nil || used-d.utilisation(next) < leastDifference || level <= d.utilisation(next) || d.timeInSlots(next) <= 0 {
+		if next == nil || sourceUtilisation-d.utilisation(next) < minUtilisationDifference || level <= d.utilisation(next) || d.utilisationPerRate(next) <= 0 {
 			break
 		}
 		chosen = append(chosen, next)
-		ratio := perRate / d.timeInSlots(next)
+		ratio := sourceCost / d.utilisationPerRate(next)
 		given += ratio * d.utilisation(next)
 		taken += ratio
 		level = given / taken
@@ -165,78 +165,76 @@
 	return chosen, level
 }
 
-// serviceTime is how long an instance needs for a request, in seconds.
-func (d *draft) serviceTime(each *candidate) float64 {
-	return d.demand().timeOf(d.now, each.id, each.slots)
+// serviceTime returns how long an instance needs for a request, in seconds.
+func (d *draft) serviceTime(candidate *candidate) float64 {
+	return d.demand().serviceTimeOf(d.now, candidate.id, candidate.slots)
 }
 
-// timeInSlots is the share of an instance's slots that one request a second keeps in
-// use.
-func (d *draft) timeInSlots(each *candidate) float64 {
-	return d.serviceTime(each) / float64(each.slots)
+// utilisationPerRate returns the share of an instance's slots that one request per second keeps in use.
+func (d *draft) utilisationPerRate(candidate *candidate) float64 {
+	return d.serviceTime(candidate) / float64(candidate.slots)
 }
 
-// instancesOfMove is how many instances of a service allow one range of keys to move at
-// the same time, beyond the configured bound. With two in place of eight 157 instances were
-// granted 15,300 ranges in 30 s in place of 4,900, for the same share of requests served in
-// time, and twice as many requests came to an instance that did not hold their key.
-const instancesOfMove = 8
+// instancesPerMove is the number of instances of a service per range that may move at the same time, if
+// that gives more than the configured bound. With two instead of eight, 157 instances were granted
+// 15,300 ranges in 30 s instead of 4,900; the share of requests served in time was the same, and twice
+// as many requests reached an instance that did not hold their key.
+const instancesPerMove = 8
 
-// mostMoves bounds the ranges of a service that move at the same time, by the number
-// of its instances: a change of what is busy concerns the more of them the more there
-// are.
-func (c *Core) mostMoves(instances int) int {
+// maxMoves returns the number of ranges of a service that may move at the same time. It grows with the
+// number of instances, because a change of the hot keys affects more instances in a larger service.
+func (c *Core) maxMoves(instances int) int {
 	if c.config.MaxMoves == 0 {
 		return 0
 	}
-	return max(c.config.MaxMoves, instances/instancesOfMove)
+	return max(c.config.MaxMoves, instances/instancesPerMove)
 }
 
-func (d *draft) movingFrom(id directory.InstanceID) bool {
-	if !d.touched[id] {
+// hasRevoked reports whether an instance owns keys that are revoked.
+func (d *draft) hasRevoked(id directory.InstanceID) bool {
+	if !d.modified[id] {
 		return slices.ContainsFunc(d.owned[id], func(holding directory.Holding) bool { return holding.Revoked })
 	}
-	d.walks++
+	d.layoutScans++
 	return slices.ContainsFunc(d.layout.Holdings, func(holding directory.Holding) bool {
 		return holding.Owner == id && holding.Revoked
 	})
 }
 
-// moveParts begins to move the busiest of the source's keys to a target, up to a rate
-// of requests.
-func (d *draft) moveParts(source, target *candidate, wanted float64) {
-	least := leastGain * wanted
+// moveParts starts to move the busiest of the source's keys to a target, up to a request rate.
+func (d *draft) moveParts(source, target *candidate, targetRate float64) {
+	minRate := minRelativeGain * targetRate
 	if d.demand().limited(d.now, source.id) {
-		// Requests beyond a limit are rejected, so that each range counts, however cool.
-		least = 0
+		// Requests beyond a limit are rejected, so each range is worth moving, whatever its rate.
+		minRate = 0
 	}
-	for d.moving < d.core.mostMoves(len(d.candidates)) {
-		index, part, rate := d.bestPart(source, wanted)
-		if index < 0 || rate < least || rate <= 0 {
+	for d.moving < d.core.maxMoves(len(d.candidates)) {
+		index, part, rate := d.bestPart(source, targetRate)
+		if index < 0 || rate < minRate || rate <= 0 {
 			return
 		}
-		source.rows += d.revokePart(index, part, target)
+		source.rangeCount += d.revokePart(index, part, target)
 		source.rate -= rate
 		target.rate += rate
-		target.awaited++
-		wanted -= rate
+		target.incoming++
+		targetRate -= rate
 	}
 }
 
-// bestPart returns the busiest part of the source's holdings whose demand does not
-// exceed a rate; a negative index if there is none.
-func (d *draft) bestPart(source *candidate, wanted float64) (int, Range, float64) {
+// bestPart returns the busiest part of the source's holdings whose rate does not exceed maxRate; the
+// index is negative if there is none.
+func (d *draft) bestPart(source *candidate, maxRate float64) (int, Range, float64) {
 	bestIndex, bestPart, bestRate := -1, Range{}, 0.0
-	d.walks++
+	d.layoutScans++
 	for index, holding := range d.layout.Holdings {
-		// Keys that the source was not told of yet stay: they would pass on from one
-		// instance to the next without anybody serving them.
+		// Holdings that the source does not know of yet are skipped: they would be passed from one
+		// instance to the next without being served.
 		if holding.Owner != source.id || holding.Revoked || !holding.Granted {
 			continue
 		}
-		part, rate := d.partOf(holding, wanted)
-		if source.rows >= maxRows && part != rangeOf(holding) {
-			// Another cut would leave the source with more ranges than an answer holds.
+		part, rate := d.partWithin(holding, maxRate)
+		if source.rangeCount >= maxRanges && part != rangeOf(holding) {
+			// Another split would leave the source with more ranges than fit an answer.
 			continue
 		}
 		if rate > bestRate {
@@ -246,15 +244,14 @@
 	return bestIndex, bestPart, bestRate
 }
 
-// partOf returns the part at one end of a holding whose demand comes nearest to a
-// rate without exceeding it.
-func (d *draft) partOf(holding directory.Holding, wanted float64) (Range, float64) {
+// partWithin returns the part at one end of a holding that has the highest rate not exceeding maxRate.
+func (d *draft) partWithin(holding directory.Holding, maxRate float64) (Range, float64) {
 	demand := d.demand()
-	if whole := demand.rate(holding.First, holding.Last); whole <= wanted {
+	if whole := demand.rate(holding.First, holding.Last); whole <= maxRate {
 		return rangeOf(holding), whole
 	}
-	front := Range{First: holding.First, Last: demand.rates.widestFrom(holding.First, holding.Last-1, wanted)}
-	back := Range{First: demand.rates.widestTo(holding.First+1, holding.Last, wanted), Last: holding.Last}
+	front := Range{First: holding.First, Last: demand.rates.widestFrom(holding.First, holding.Last-1, maxRate)}
+	back := Range{First: demand.rates.widestTo(holding.First+1, holding.Last, maxRate), Last: holding.Last}
 	frontRate, backRate := demand.rate(front.First, front.Last), demand.rate(back.First, back.Last)
 	if backRate > frontRate {
 		return back, backRate
@@ -262,8 +259,8 @@
 	return front, frontRate
 }
 
-// revokePart begins to move a part of a holding. It returns by how much the number of
-// ranges that stay with the owner changes.
+// revokePart starts to move a part of a holding to a target. It returns the change in the number of
+// ranges that remain with the owner.
 func (d *draft) revokePart(index int, part Range, target *candidate) int {
 	holding := d.layout.Holdings[index]
 	var parts []directory.Holding
@@ -282,20 +279,20 @@
 	}
 	d.layout.Holdings = slices.Replace(d.layout.Holdings, index, index+1, parts...)
 	d.core.setTarget(d.layout.Service, part.First, target.id)
-	d.touched[holding.Owner] = true
+	d.modified[holding.Owner] = true
 	d.moving++
 	d.changed = true
-	kept := len(parts) - 1
-	return kept - 1
+	remaining := len(parts) - 1
+	return remaining - 1
 }
 
-// targetKey names keys that are being moved.
+// targetKey identifies keys that are being moved, by the first of them.
 type targetKey struct {
 	service string
 	first   directory.Key
 }
 
-// target returns the instance that is to get the keys which begin at one.
+// target returns the instance that is to get the keys that start at first.
 func (c *Core) target(service string, first directory.Key) directory.InstanceID {
 	return c.targets[targetKey{service, first}]
 }
--- a/internal/heartbeat/size_bench_test.go
+++ b/internal/heartbeat/size_bench_test.go
@@ -8,9 +8,9 @@
 	"github.com/thorntiller/thorntiller/internal/directory"
 )
 
-// sizedScript returns a script with a founded service of many instances beside as
-// many that hold no keys, as on a deployment of some hundred servers.
-func sizedScript(b *testing.B, instances int) (*script, []directory.InstanceID) {
+// newLargeScript returns a script with a service of many instances that all sent heartbeats, like a deployment
+// of a few hundred servers.
+func newLargeScript(b *testing.B, instances int) (*script, []directory.InstanceID) {
 	b.Helper()
 	s := newScript(b)
 	s.core.config.Stripes = 110
@@ -20,7 +20,7 @@
 	}
 	for range 3 {
 		for _, id := range ids {
-			beatSized(b, s, id)
+			beatWithoutHoldings(b, s, id)
 		}
 		s.now += time.Second
 		s.apply(s.core.Tick(s.now, s.view)...)
@@ -28,7 +28,7 @@
 	return s, ids
 }
 
-func beatSized(b *testing.B, s *script, id directory.InstanceID) {
+func beatWithoutHoldings(b *testing.B, s *script, id directory.InstanceID) {
 	b.Helper()
 	s.sequence[id]++
 	beat := Beat{Instance: id, Service: "s", Address: "address-" + string(id), Slots: 2, Sequence: s.sequence[id]}
@@ -40,26 +40,26 @@
 	s.core.Answer(id, s.view)
 }
 
-// BenchmarkHeartbeat is one heartbeat that changes nothing.
+// BenchmarkHeartbeat measures a heartbeat that changes nothing.
 func BenchmarkHeartbeat(b *testing.B) {
 	for _, instances := range []int{20, 200, 600} {
 		b.Run(fmt.Sprint(instances), func(b *testing.B) {
-			s, ids := sizedScript(b, instances)
+			s, ids := newLargeScript(b, instances)
 			b.ReportAllocs()
 			b.ResetTimer()
 			for index := range b.N {
 				s.now += time.Millisecond
-				beatSized(b, s, ids[index%len(ids)])
+				beatWithoutHoldings(b, s, ids[index%len(ids)])
 			}
 		})
 	}
 }
 
-// BenchmarkTick is one look at leases that may have ended.
+// BenchmarkTick measures a check for expired leases.
 func BenchmarkTick(b *testing.B) {
 	for _, instances := range []int{20, 200, 600} {
 		b.Run(fmt.Sprint(instances), func(b *testing.B) {
-			s, _ := sizedScript(b, instances)
+			s, _ := newLargeScript(b, instances)
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
--- a/internal/heartbeat/speed.go
+++ b/internal/heartbeat/speed.go
@@ -7,92 +7,89 @@
 	"github.com/thorntiller/thorntiller/internal/directory"
 )
 
-// speed is what is known of the time that an instance needs for a request. Both
-// measures are at least that time: the mean time to an answer has the wait in the
-// queue in it, and the slots divided by the answers a second have idle slots in them.
-// The first is close while the instance has room, the second once it is full.
-type speed struct {
-	// latency is the mean time to an answer, in seconds, and answers how many of them
-	// came.
-	latency float64
-	answers float64
-	// answered is the rate of answers in requests a second, as of ratedAt; it decays
-	// like the demand for keys.
-	answered float64
-	ratedAt  time.Duration
-	// limit is what the instance names that it takes, in requests a second, as told last at
-	// limitAt.
+// timing is what is known about the service time of an instance. Both measurements are upper bounds of
+// it: the mean latency includes the time in the queue, and the slots divided by the answer rate include
+// idle slots. The first is close while the instance has capacity left, the second once it is saturated.
+type timing struct {
+	// latency is the mean time until an answer, in seconds, and answerCount the number of answers.
+	latency     float64
+	answerCount float64
+	// answerRate is the answers per second as of ratedAt; it decays like the demand for keys.
+	answerRate float64
+	ratedAt    time.Duration
+	// limit is the rate that the instance declares to accept, in requests per second, as last
+	// reported at limitAt.
 	limit   float64
 	limitAt time.Duration
 }
 
-// limitTold is for how long a limit counts that no gateway tells again.
-const limitTold = 3 * time.Second
+// limitLifetime is how long a limit applies after a gateway reported it last.
+const limitLifetime = 3 * time.Second
 
-func (d *demand) speedOf(id directory.InstanceID) *speed {
-	known, found := d.speeds[id]
+func (d *demand) timingOf(id directory.InstanceID) *timing {
+	existing, found := d.timings[id]
 	if !found {
-		known = &speed{}
-		d.speeds[id] = known
+		existing = &timing{}
+		d.timings[id] = existing
 	}
-	return known
+	return existing
 }
 
 const (
-	// latencySmoothing is the weight of one answer in the mean time to an answer. The
-	// times of single requests differ by a factor of two and more: fifty of them give
-	// the mean within a tenth.
+	// latencySmoothing is the weight of one answer in the mean latency. The times of single requests
+	// differ by a factor of two and more: fifty of them give the mean to within a tenth.
 	latencySmoothing = 0.02
-	// mostLatencyWeight bounds the weight of one report.
-	mostLatencyWeight = 0.3
-	// saturated is the share of the slots in use from which on answers wait in the
-	// queue, so that longer times are mostly not the instance's own; they then count by
-	// saturatedWeight.
-	saturated       = 0.7
-	saturatedWeight = 0.1
+	// maxLatencyWeight bounds the weight of one report.
+	maxLatencyWeight = 0.3
+	// saturatedUtilisation is the share of slots in use from which on answers include time in the
+	// queue. Longer times are then mostly not the instance's own and count by saturatedWeight.
+	saturatedUtilisation = 0.7
+	saturatedWeight      = 0.1
 )
 
-func (s *speed) take(now time.Duration, answered uint32, latency float64, slots int) {
-	s.answered = s.rate(now) + float64(answered)/demandWindow.Seconds()
-	s.ratedAt = now
-	s.answers += float64(answered)
-	// The first answers count alike, so that the mean does not rest on the first of them.
-	weight := min(max(latencySmoothing, 1/s.answers)*float64(answered), 1)
-	if s.answers > 1/latencySmoothing {
-		weight = min(weight, mostLatencyWeight)
+// addReport adds the answers that one gateway reported, with their mean latency in seconds.
+func (t *timing) addReport(now time.Duration, answered uint32, latency float64, slots int) {
+	t.answerRate = t.currentRate(now) + float64(answered)/demandWindow.Seconds()
+	t.ratedAt = now
+	t.answerCount += float64(answered)
+	// The first answers have equal weight, so that the mean does not depend mostly on the very first.
+	weight := min(max(latencySmoothing, 1/t.answerCount)*float64(answered), 1)
+	if t.answerCount > 1/latencySmoothing {
+		weight = min(weight, maxLatencyWeight)
 	}
-	if latency > s.latency && s.answered*s.latency > saturated*float64(slots) {
+	if latency > t.latency && t.answerRate*t.latency > saturatedUtilisation*float64(slots) {
 		weight *= saturatedWeight
 	}
-	s.latency = blended(s.latency, latency, weight)
+	t.latency = weightedMean(t.latency, latency, weight)
 }
 
-// rate returns the answers a second.
-func (s *speed) rate(now time.Duration) float64 {
-	return s.answered * math.Exp(-max(0, now-s.ratedAt).Seconds()/demandWindow.Seconds())
+// currentRate returns the answers per second, decayed up to now.
+func (t *timing) currentRate(now time.Duration) float64 {
+	return t.answerRate * math.Exp(-max(0, now-t.ratedAt).Seconds()/demandWindow.Seconds())
 }
 
 // serviceTime returns the time that a request needs, in seconds.
-func (s *speed) serviceTime(now time.Duration, slots int) float64 {
-	rate := s.rate(now)
+func (t *timing) serviceTime(now time.Duration, slots int) float64 {
+	rate := t.currentRate(now)
 	if rate <= 0 {
-		return s.latency
+		return t.latency
 	}
-	return min(s.latency, float64(max(slots, 1))/rate)
+	return min(t.latency, float64(max(slots, 1))/rate)
 }
 
-// noteLimit takes the limit that an instance named, in requests a second; zero for none.
-func (s *speed) noteLimit(now time.Duration, limit float64) {
+// setLimit stores the limit that an instance declared, in requests per second. Zero and infinity are
+// ignored: an earlier limit applies until limitLifetime has passed.
+func (t *timing) setLimit(now time.Duration, limit float64) {
 	if limit > 0 && !math.IsInf(limit, 0) {
-		s.limit, s.limitAt = limit, now
+		t.limit, t.limitAt = limit, now
 	}
 }
 
-// limitedTime is the time for a request at which all slots in use make the limit of an instance,
-// in seconds; zero without one.
-func (s *speed) limitedTime(now time.Duration, slots int) float64 {
-	if s.limit == 0 || now-s.limitAt > limitTold {
+// serviceTimeAtLimit returns the service time, in seconds, at which the slots of the instance serve
+// exactly the limit that it declared; zero without a limit.
+func (t *timing) serviceTimeAtLimit(now time.Duration, slots int) float64 {
+	if t.limit == 0 || now-t.limitAt > limitLifetime {
 		return 0
 	}
-	return float64(max(slots, 1)) / s.limit
+	return float64(max(slots, 1)) / t.limit
 }
--- a/internal/heartbeat/steady_test.go
+++ b/internal/heartbeat/steady_test.go
@@ -9,23 +9,23 @@
 	"github.com/thorntiller/thorntiller/internal/directory"
 )
 
-// evenLoad plays demand that is spread evenly over all keys and varies only by chance.
+// evenLoad simulates demand that is spread evenly over all keys and varies only by chance.
 type evenLoad struct {
 	script *script
 	ids    []directory.InstanceID
-	// busyMs is the time that each instance needs for a request.
+	// busyMs is the service time of each instance.
 	busyMs map[directory.InstanceID]uint32
-	// limits are what instances name, in requests a second.
+	// limits are the limits that instances declare, in requests per second.
 	limits map[directory.InstanceID]float64
 	random *rand.Rand
-	// rate is in requests a second.
+	// rate is the total demand in requests per second.
 	rate float64
 }
 
-// evenSlots are the slots of the instances of a script.
+// evenSlots is the number of slots of each instance.
 const evenSlots = 2
 
-// newEvenLoad has slots in use at a share of all instances that need as long for a request.
+// newEvenLoad returns a load that keeps a share of the slots in use, for instances with equal service times.
 func newEvenLoad(t testing.TB, instances int, busyMs uint32, share float64) *evenLoad {
 	load := &evenLoad{script: newScript(t), busyMs: make(map[directory.InstanceID]uint32), limits: make(map[directory.InstanceID]float64), random: rand.New(rand.NewPCG(11, 13))}
 	load.script.core.config.MaxMoves, load.script.core.config.Stripes = 16, 10
@@ -39,8 +39,8 @@
 	return load
 }
 
-// second plays a second: reports each tenth, and a heartbeat of each instance.
-func (l *evenLoad) second() {
+// runSecond simulates one second: a report every 100 ms, and a heartbeat of each instance.
+func (l *evenLoad) runSecond() {
 	const reports = 10
 	s := l.script
 	for step := range reports {
@@ -51,7 +51,7 @@
 		expected := l.rate / reports
 		arrived := int(expected + l.random.NormFloat64()*expected/4)
 		for range arrived {
-			key := directory.Key(l.random.IntN(keys))
+			key := directory.Key(l.random.IntN(keyCount))
 			report.Keys, report.Counts = append(report.Keys, uint16(key)), append(report.Counts, 1)
 			if holding, found := layout.At(key); found {
 				answered[holding.Owner]++
@@ -70,12 +70,12 @@
 	}
 }
 
-// passedOn plays seconds and counts the ranges whose owner changed.
-func (l *evenLoad) passedOn(seconds int) int {
+// countOwnerChanges simulates a number of seconds and counts the ranges whose owner changed.
+func (l *evenLoad) countOwnerChanges(seconds int) int {
 	count := 0
 	before := l.script.view.Layout("s")
 	for range seconds {
-		l.second()
+		l.runSecond()
 		after := l.script.view.Layout("s")
 		for _, holding := range after.Holdings {
 			earlier, found := before.At(holding.First)
@@ -88,59 +88,58 @@
 	return count
 }
 
-// TestChanceMovesNoKeys: instances at half of their slots that answer a few requests a
-// second differ by chance alone. Each move leaves its keys without a holder for a moment,
-// and gains nothing.
+// TestChanceMovesNoKeys checks that random variation moves few keys: instances at half of their capacity that
+// answer a few requests per second differ by chance alone. Each move leaves its keys without a holder for a
+// moment and gains nothing.
 func TestChanceMovesNoKeys(t *testing.T) {
 	const instances, busyMs = 100, 160
 	load := newEvenLoad(t, instances, busyMs, 0.5)
-	load.passedOn(5)
+	load.countOwnerChanges(5)
 	const seconds = 20
-	if moved := load.passedOn(seconds); moved > instances/2 {
-		t.Errorf("%d ranges of %d instances passed on in %d s of even load", moved, instances, seconds)
+	if moved := load.countOwnerChanges(seconds); moved > instances/2 {
+		t.Errorf("%d ranges of %d instances changed owner in %d s of even load", moved, instances, seconds)
 	}
 }
 
-// TestSlowInstanceGivesKeysAway: a load that lasts is told from chance, also where an
-// instance answers a few requests a second.
+// TestSlowInstanceGivesKeysAway checks that a lasting load is distinguished from random variation, even if an
+// instance answers only a few requests per second.
 func TestSlowInstanceGivesKeysAway(t *testing.T) {
 	const instances, busyMs, slowMs = 40, 160, 400
 	load := newEvenLoad(t, instances, busyMs, 0.45)
-	load.passedOn(5)
+	load.countOwnerChanges(5)
 	slow := load.ids[7]
 	load.busyMs[slow] = slowMs
-	before := load.width(slow)
-	load.passedOn(20)
-	if after := load.width(slow); after > before*3/4 {
-		t.Errorf("an instance that needs %d ms in place of %d holds %d keys after %d", slowMs, busyMs, after, before)
+	before := load.ownedKeys(slow)
+	load.countOwnerChanges(20)
+	if after := load.ownedKeys(slow); after > before*3/4 {
+		t.Errorf("an instance with a service time of %d ms instead of %d owns %d keys, before %d", slowMs, busyMs, after, before)
 	}
 }
 
-// TestLimitedInstanceGivesKeysAway: an instance that names a limit below what its keys are asked
-// for keeps those that it can serve, and the others serve the rest. It takes part as before once
-// it names none.
+// TestLimitedInstanceGivesKeysAway checks that an instance that declares a limit below the demand for its keys
+// keeps only those that it can serve, and that the limit no longer counts once it declares none.
 func TestLimitedInstanceGivesKeysAway(t *testing.T) {
 	const instances, busyMs = 40, 160
 	load := newEvenLoad(t, instances, busyMs, 0.45)
-	load.passedOn(5)
+	load.countOwnerChanges(5)
 	limited := load.ids[7]
 	demand := load.rate / instances
 	load.limits[limited] = demand / 3
-	before := load.width(limited)
-	load.passedOn(10)
-	if after := load.width(limited); after > before/2 || after < before/8 {
-		t.Errorf("an instance that takes a third of its demand holds %d keys after %d", after, before)
+	before := load.ownedKeys(limited)
+	load.countOwnerChanges(10)
+	if after := load.ownedKeys(limited); after > before/2 || after < before/8 {
+		t.Errorf("an instance limited to a third of its demand owns %d keys, before %d", after, before)
 	}
 	delete(load.limits, limited)
-	load.passedOn(int(limitTold/time.Second) + 1)
+	load.countOwnerChanges(int(limitLifetime/time.Second) + 1)
 	now := load.script.now
-	if served := load.script.core.demandOf(now, "s").timeOf(now, limited, evenSlots); served > 2*busyMs/1000.0 {
-		t.Errorf("the limit counts on after it has ended: %g s for a request", served)
+	if serviceTime := load.script.core.demandOf(now, "s").serviceTimeOf(now, limited, evenSlots); serviceTime > 2*busyMs/1000.0 {
+		t.Errorf("service time %g s: the expired limit still counts", serviceTime)
 	}
 }
 
-// width counts the keys of an instance.
-func (l *evenLoad) width(id directory.InstanceID) int {
+// ownedKeys returns the number of keys that an instance owns, without revoked ones.
+func (l *evenLoad) ownedKeys(id directory.InstanceID) int {
 	width := 0
 	for _, holding := range l.script.view.Layout("s").Holdings {
 		if holding.Owner == id && !holding.Revoked {
--- a/internal/heartbeat/stranger_test.go
+++ b/internal/heartbeat/stranger_test.go
@@ -8,65 +8,65 @@
 	"github.com/thorntiller/thorntiller/internal/directory"
 )
 
-// atAddressOf sends a heartbeat of an instance that nobody knows, at the address of "a".
-func (s *script) atAddressOfA(id directory.InstanceID) error {
+// beatAtAddressOfA sends a heartbeat of an unknown instance at the address of instance a.
+func (s *script) beatAtAddressOfA(id directory.InstanceID) error {
 	_, err := s.beat(id, func(beat *Beat) { beat.Address = "address-a" })
 	return err
 }
 
-// TestDelayedHeartbeatsReplaceNobody: an earlier incarnation that never was known sent two
-// heartbeats into a cut and crashed; both arrive after the next incarnation has registered
-// at its address and holds keys. The second one took its place, and its keys passed on
-// while it held them.
+// TestDelayedHeartbeatsReplaceNobody guards against replacing a live instance. An earlier incarnation that was
+// never registered sent two heartbeats during a network partition and crashed; both arrive after the next
+// incarnation has registered at its address and holds keys. The second one replaced the live instance, whose
+// keys were reassigned while it held them.
 func TestDelayedHeartbeatsReplaceNobody(t *testing.T) {
-	s := founded(t)
+	s := newScriptWithLayout(t)
 	s.now += 300 * time.Millisecond
 	for range 3 {
-		if err := s.atAddressOfA("delayed"); !errors.Is(err, ErrProvisional) {
-			t.Fatalf("a heartbeat that may be old: %v", err)
+		if err := s.beatAtAddressOfA("delayed"); !errors.Is(err, ErrProvisional) {
+			t.Fatalf("delayed heartbeat: error %v, want ErrProvisional", err)
 		}
 		s.now += 5 * time.Millisecond
 	}
-	if grant, err := s.inZone("a", ""); err != nil || len(grant.Holdings) != 1 {
-		t.Errorf("the instance that lives gets %+v, %v", grant, err)
+	if grant, err := s.beatInZone("a", ""); err != nil || len(grant.Holdings) != 1 {
+		t.Errorf("the live instance is granted %+v, %v", grant, err)
 	}
 	s.now += time.Second
-	if err := s.atAddressOfA("delayed"); !errors.Is(err, ErrProvisional) {
-		t.Errorf("another one after the instance was heard of again: %v", err)
+	if err := s.beatAtAddressOfA("delayed"); !errors.Is(err, ErrProvisional) {
+		t.Errorf("delayed heartbeat after one of the live instance: error %v, want ErrProvisional", err)
 	}
 }
 
-// TestDelayedHeartbeatsAtNewLeader: a leader that has heard nobody yet does not take them
-// either.
+// TestDelayedHeartbeatsAtNewLeader checks that a leader that has not received any heartbeats yet does not accept
+// delayed ones either.
 func TestDelayedHeartbeatsAtNewLeader(t *testing.T) {
-	s := founded(t)
+	s := newScriptWithLayout(t)
 	s.now += 300 * time.Millisecond
 	s.core.Lead(s.now)
 	for range 2 {
-		if err := s.atAddressOfA("delayed"); !errors.Is(err, ErrProvisional) {
-			t.Fatalf("a heartbeat that may be old: %v", err)
+		if err := s.beatAtAddressOfA("delayed"); !errors.Is(err, ErrProvisional) {
+			t.Fatalf("delayed heartbeat: error %v, want ErrProvisional", err)
 		}
 	}
 	if instance, _ := s.view.Instance("a"); instance.State == directory.InstanceGone {
-		t.Error("the instance that lives counts as gone")
+		t.Error("the live instance counts as gone")
 	}
 }
 
-// TestRestartedInstanceReplacesTheOneBefore: by its second regular heartbeat, while that one
-// says nothing any more.
+// TestRestartedInstanceReplacesTheOneBefore checks that a restarted instance replaces the previous one, which is
+// silent, at its second regular heartbeat.
 func TestRestartedInstanceReplacesTheOneBefore(t *testing.T) {
-	s := founded(t)
+	s := newScriptWithLayout(t)
 	s.now += time.Second
-	if err := s.atAddressOfA("next"); !errors.Is(err, ErrProvisional) {
-		t.Fatalf("the first heartbeat: %v", err)
+	if err := s.beatAtAddressOfA("next"); !errors.Is(err, ErrProvisional) {
+		t.Fatalf("first heartbeat: error %v, want ErrProvisional", err)
 	}
 	s.now += 870 * time.Millisecond
-	if err := s.atAddressOfA("next"); err != nil {
-		t.Fatalf("the second heartbeat: %v", err)
+	if err := s.beatAtAddressOfA("next"); err != nil {
+		t.Fatalf("second heartbeat: %v", err)
 	}
 	before, _ := s.view.Instance("a")
 	next, known := s.view.Instance("next")
 	if !before.Ended || !known || next.State != directory.InstanceReady {
-		t.Errorf("before %+v, next %+v", before, next)
+		t.Errorf("previous instance %+v, next %+v", before, next)
 	}
 }
--- a/internal/heartbeat/throttle.go
+++ b/internal/heartbeat/throttle.go
@@ -8,56 +8,54 @@
 	"github.com/thorntiller/thorntiller/internal/directory"
 )
 
-// A key has one holder, and a hot one asks for more than any holder serves. Gateways do not
-// see each other's requests, so that all of them together fill the holder's queue: what
-// waits there is late, the requests for its other keys too, and what finds the queue full
-// hangs. The leader knows demand and service times, and tells gateways which share of the
-// requests for a hot key is worth sending.
+// A key has one holder, and a hot key may have more requests than any holder can serve. Gateways do not
+// see each other's requests, so together they fill the holder's queue: requests in it are late, for other
+// keys as well, and requests that find it full block. The leader knows demand and service times, and tells
+// gateways which share of the requests for a hot key to forward.
 
 const (
-	// throttleInterval is the time between two looks at hot keys: as often as gateways
-	// report.
+	// throttleInterval is the time between two checks of hot keys. Gateways report as often.
 	throttleInterval = 200 * time.Millisecond
-	// throttleFrom is how many times its slots the demand for a holder's keys must ask for
-	// before hot keys are throttled: below it the bounds of the gateways keep the queue in
-	// order, and rejecting ahead of it costs requests that would be served. throttleTo is
-	// the share of the slots that they are throttled to: the queue then stays short.
-	throttleFrom = 3.0
-	throttleTo   = 0.85
-	// throttleChange is the ratio by which a share must change to be told anew.
-	throttleChange = 1.25
-	// wholePerMille stands for all requests.
-	wholePerMille = 1000
+	// throttleThreshold is how many times a holder's slots the demand for its keys must take up before
+	// hot keys are throttled. Below it, the limits in the gateways keep the queue short, and rejecting
+	// earlier costs requests that would be served. throttleTarget is the share of the slots that the
+	// demand is throttled to, so that the queue stays short.
+	throttleThreshold = 3.0
+	throttleTarget    = 0.85
+	// throttleChangeRatio is the ratio by which a share must change to be published again.
+	throttleChangeRatio = 1.25
+	// fullPerMille stands for all requests.
+	fullPerMille = 1000
 )
 
-// publishThrottles tells gateways of the hot keys of a service, if what is known of them has
-// changed.
+// publishThrottles publishes the throttled keys of a service if they have changed.
 func (b *Batch) publishThrottles(service string) {
-	wanted := b.core.throttles(b.now, service, b.view)
-	if published := b.view.Throttles(service); !sameThrottles(published.Keys, wanted) {
-		b.throttles = append(b.throttles, directory.Throttles{Service: service, Keys: wanted})
+	updated := b.core.throttles(b.now, service, b.view)
+	if published := b.view.Throttles(service); !sameThrottles(published.Keys, updated) {
+		b.throttles = append(b.throttles, directory.Throttles{Service: service, Keys: updated})
 	}
 }
 
-// throttleDue reports whether it is time to look at hot keys again.
-func (b *Batch) throttleDue() bool {
-	if b.now-b.core.throttledAt < throttleInterval {
+// throttlesDue reports whether throttleInterval has passed since the last check of hot keys.
+func (b *Batch) throttlesDue() bool {
+	if b.now-b.core.throttlesCheckedAt < throttleInterval {
 		return false
 	}
-	b.core.throttledAt = b.now
+	b.core.throttlesCheckedAt = b.now
 	return true
 }
 
-// sameThrottles reports whether two lists say nearly the same.
-func sameThrottles(published, wanted []directory.Throttle) bool {
-	return slices.EqualFunc(published, wanted, func(a, b directory.Throttle) bool {
+// sameThrottles reports whether two lists have the same keys, and shares that differ by at most
+// throttleChangeRatio.
+func sameThrottles(published, updated []directory.Throttle) bool {
+	return slices.EqualFunc(published, updated, func(a, b directory.Throttle) bool {
 		high, low := float64(max(a.PerMille, b.PerMille)), float64(min(a.PerMille, b.PerMille))
-		return a.Key == b.Key && high <= throttleChange*low
+		return a.Key == b.Key && high <= throttleChangeRatio*low
 	})
 }
 
-// throttles returns the share of the requests for each hot key of a service that its holder
-// can serve, by key.
+// throttles returns, for each hot key of a service that exceeds the capacity of its holder, the share of
+// its requests to forward, ordered by key.
 func (c *Core) throttles(now time.Duration, service string, view *directory.Directory) []directory.Throttle {
 	demand := c.demandOf(now, service)
 	layout := view.Layout(service)
@@ -70,40 +68,39 @@
 	var throttled []directory.Throttle
 	for holder, keys := range byHolder {
 		instance, _ := view.Instance(holder)
-		throttled = append(throttled, c.throttlesOf(now, instance, c.index(service, view).owned[holder], keys)...)
+		throttled = append(throttled, c.holderThrottles(now, instance, c.index(service, view).owned[holder], keys)...)
 	}
 	slices.SortFunc(throttled, func(a, b directory.Throttle) int { return cmp.Compare(a.Key, b.Key) })
 	return throttled
 }
 
-// throttlesOf returns those of one holder: its other keys are served whole, and what is left
-// is divided evenly among the hot ones, the hottest first in order.
-func (c *Core) throttlesOf(now time.Duration, holder directory.Instance, owned []directory.Holding, keys []hotKey) []directory.Throttle {
+// holderThrottles returns the throttles of one holder. Its other keys are not throttled; the remaining
+// capacity is divided evenly among its hot keys, which are ordered hottest first.
+func (c *Core) holderThrottles(now time.Duration, holder directory.Instance, owned []directory.Holding, keys []hotKey) []directory.Throttle {
 	demand := c.demandOf(now, holder.Service)
 	slots := max(holder.Slots, 1)
-	serviceTime := demand.timeOf(now, holder.ID, slots)
-	total, hot := 0.0, 0.0
+	serviceTime := demand.serviceTimeOf(now, holder.ID, slots)
+	totalRate, hotRate := 0.0, 0.0
 	for _, holding := range owned {
-		total += demand.rate(holding.First, holding.Last)
+		totalRate += demand.rate(holding.First, holding.Last)
 	}
 	for _, key := range keys {
-		hot += key.rate
+		hotRate += key.rate
 	}
-	if serviceTime <= 0 || total*serviceTime < throttleFrom*float64(slots) {
+	if serviceTime <= 0 || totalRate*serviceTime < throttleThreshold*float64(slots) {
 		return nil
 	}
-	// Where the other keys ask for more than the holder serves, the hot ones have a part of
-	// it by their demand.
-	capacity := throttleTo * float64(slots) / serviceTime
-	left := max(capacity-(total-hot), capacity*hot/total)
+	// If the other keys alone exceed the capacity, the hot keys still get their proportional share.
+	capacity := throttleTarget * float64(slots) / serviceTime
+	remaining := max(capacity-(totalRate-hotRate), capacity*hotRate/totalRate)
 	var throttled []directory.Throttle
 	for position := len(keys) - 1; position >= 0; position-- {
-		// From the coolest on: what it does not need is left to the others.
-		part := left / float64(position+1)
+		// Starting with the coolest key: the capacity that it does not need is left to the others.
+		share := remaining / float64(position+1)
 		key := keys[position]
-		left -= min(part, key.rate)
-		if key.rate > part {
-			throttled = append(throttled, directory.Throttle{Key: key.key, PerMille: max(1, int(wholePerMille*part/key.rate))})
+		remaining -= min(share, key.rate)
+		if key.rate > share {
+			throttled = append(throttled, directory.Throttle{Key: key.key, PerMille: max(1, int(fullPerMille*share/key.rate))})
 		}
 	}
 	return throttled
--- a/internal/heartbeat/times.go
+++ b/internal/heartbeat/times.go
@@ -7,66 +7,65 @@
 	"github.com/thorntiller/thorntiller/internal/directory"
 )
 
-// A gateway of hundreds meets one of hundreds of instances about once a minute and learns
-// nothing of it, while instances of one service differ in speed by a factor of two and
-// more. All gateways together meet it several times a second: their reports are summed
-// here, and what differs from the mean by more than chance goes into the directory, by
-// which each gateway chooses.
+// With hundreds of gateways and hundreds of instances, a gateway sends a request to a given instance about
+// once a minute and cannot measure its service time, while instances of one service differ in speed by a
+// factor of two and more. All gateways together send it several requests per second. Their reports are
+// summed here, and service times that differ significantly from the mean are published in the directory
+// for the gateways to use.
 
 const (
-	// publishInterval is the time between two looks at the service times.
-	publishInterval = 500 * time.Millisecond
-	// leastTimeRatio is by how much a service time must differ from what is known of it
-	// to be published: less would change few choices.
-	leastTimeRatio = 1.25
-	// timeCertainty is how many standard errors it must differ by. The times of single
-	// requests deviate from their mean by about that mean.
-	timeCertainty = 1.5
-	// leastAnswers is the number of answers below which a mean says nothing.
-	leastAnswers = 8
+	// timesPublishInterval is the time between two checks of the service times.
+	timesPublishInterval = 500 * time.Millisecond
+	// minTimeRatio is the ratio by which a service time must differ from the published one to be
+	// published. A smaller difference would change few routing choices.
+	minTimeRatio = 1.25
+	// minStandardErrors is how many standard errors it must differ by. The standard deviation of
+	// response times is about their mean.
+	minStandardErrors = 1.5
+	// minAnswers is the minimum number of answers for a meaningful mean.
+	minAnswers = 8
 )
 
-// publishTimes adds the service times that differ from what the directory says.
+// publishTimes publishes the service times that differ from those in the directory.
 func (b *Batch) publishTimes() {
-	if b.now-b.core.publishedAt < publishInterval {
+	if b.now-b.core.timesCheckedAt < timesPublishInterval {
 		return
 	}
-	b.core.publishedAt = b.now
+	b.core.timesCheckedAt = b.now
 	for instance := range b.view.EachInstance() {
 		demand, found := b.core.demands[instance.Service]
-		if !found || instance.State == directory.InstanceGone || !b.chosenFreely(instance.Service) {
+		if !found || instance.State == directory.InstanceGone || !b.gatewaysChoose(instance.Service) {
 			continue
 		}
-		known, met := demand.speeds[instance.ID]
-		if !met {
+		timing, measured := demand.timings[instance.ID]
+		if !measured {
 			continue
 		}
-		if measured, differs := demand.differs(known, instance); differs {
-			b.times = append(b.times, directory.InstanceTime{ID: instance.ID, ServiceTime: measured})
+		if serviceTime, differs := demand.changedServiceTime(timing, instance); differs {
+			b.times = append(b.times, directory.InstanceTime{ID: instance.ID, ServiceTime: serviceTime})
 		}
 	}
 }
 
-// chosenFreely reports whether gateways choose among the instances of a service. Keys have
-// one holder, and are placed by the service times here.
-func (b *Batch) chosenFreely(service string) bool {
+// gatewaysChoose reports whether gateways choose among the instances of a service. In a keyed service each
+// key has one holder, and the leader places keys by service times.
+func (b *Batch) gatewaysChoose(service string) bool {
 	configured, found := b.view.Service(service)
 	return found && !configured.Keyed
 }
 
-// differs returns the service time of an instance, and whether it differs from what the
-// directory says by more than chance. One of which it says nothing has the mean of its
-// service.
-func (d *demand) differs(known *speed, instance directory.Instance) (time.Duration, bool) {
-	if known.answers < leastAnswers || known.latency <= 0 || d.mean <= 0 {
+// changedServiceTime returns the service time of an instance, and whether it differs significantly from
+// the published one, or from the mean of the service if none is published.
+func (d *demand) changedServiceTime(timing *timing, instance directory.Instance) (time.Duration, bool) {
+	if timing.answerCount < minAnswers || timing.latency <= 0 || d.meanServiceTime <= 0 {
 		return 0, false
 	}
-	expected := d.mean
+	expected := d.meanServiceTime
 	if instance.ServiceTime > 0 {
 		expected = instance.ServiceTime.Seconds()
 	}
-	measured := known.latency
+	measured := timing.latency
 	ratio := max(measured/expected, expected/measured)
-	bound := max(leastTimeRatio, 1+timeCertainty/math.Sqrt(min(known.answers, 1/latencySmoothing)))
-	return time.Duration(measured * float64(time.Second)).Round(time.Millisecond), ratio >= bound
+	minRatio := max(minTimeRatio, 1+minStandardErrors/math.Sqrt(min(timing.answerCount, 1/latencySmoothing)))
+	return time.Duration(measured * float64(time.Second)).Round(time.Millisecond), ratio >= minRatio
 }
--- a/internal/heartbeat/types.go
+++ b/internal/heartbeat/types.go
@@ -9,45 +9,42 @@
 
 // Config holds the settings of the core.
 type Config struct {
-	// Lease is how long an instance holds keys, from the sending of a heartbeat.
+	// Lease is how long an instance holds keys, counted from when it sent the heartbeat.
 	Lease time.Duration
-	// Interval is the longest regular time between two heartbeats, zero if it is not known.
+	// Interval is the longest regular time between two heartbeats; zero if it is not known.
 	Interval time.Duration
-	// MaxLease is the longest lease that any earlier leader may have granted.
+	// MaxLease is the longest lease that an earlier leader may have granted.
 	MaxLease time.Duration
-	// ClockRateBound is the largest difference in speed of two machines' clocks, as
-	// a share.
+	// ClockRateBound is the largest relative difference in speed between the clocks of two machines.
 	ClockRateBound float64
-	// Margin is added before a lease counts as ended.
+	// Margin is an additional time before a lease counts as expired.
 	Margin time.Duration
-	// Gather is how long a keyed service without a layout waits for instances.
+	// Gather is how long a keyed service without a layout waits for instances to register.
 	Gather time.Duration
-	// HoldBack is how long the answer to a heartbeat may wait for news; 0 for not at
-	// all.
+	// HoldBack is how long the answer to a heartbeat may be held back for new keys; zero for not at all.
 	HoldBack time.Duration
-	// AddressReuse is the shortest time after which an address passes to an
-	// instance of another service.
+	// AddressReuse is the minimum time since the last heartbeat from an address before an instance of
+	// another service may use it.
 	AddressReuse time.Duration
-	// Stripes is how many ranges of keys each instance gets at first, far apart from
-	// each other: keys that are busy at the same time lie close together, and are then
-	// spread over many instances before anything is known of them.
+	// Stripes is the number of key ranges that each instance gets in the first layout. They are far
+	// apart: keys that are hot at the same time tend to be adjacent, and are spread over many
+	// instances in this way before any demand is known.
 	Stripes int
-	// MaxMoves bounds the holdings of a service that are being moved for the sake
-	// of balance.
+	// MaxMoves bounds the holdings of a service that are being moved because of load.
 	MaxMoves int
 }
 
-// heartbeatDelay is by how much a heartbeat may come later than its regular time: one that was
-// not answered is sent again a second later.
-const heartbeatDelay = 1200 * time.Millisecond
+// heartbeatDelayTolerance is by how much a heartbeat may arrive later than its regular time: a heartbeat
+// without an answer is sent again a second later.
+const heartbeatDelayTolerance = 1200 * time.Millisecond
 
-// recent is how long after a heartbeat an instance counts as alive for what it might get: half a
-// lease, but not less than to the next heartbeat.
-func (c Config) recent() time.Duration {
+// livenessTimeout is how long after a heartbeat an instance counts as alive when keys are assigned: half
+// a lease, but at least until its next heartbeat is due, and at most a lease.
+func (c Config) livenessTimeout() time.Duration {
 	if c.Interval == 0 {
 		return c.Lease / 2
 	}
-	return min(max(c.Lease/2, c.Interval+heartbeatDelay), c.Lease)
+	return min(max(c.Lease/2, c.Interval+heartbeatDelayTolerance), c.Lease)
 }
 
 // Range is a range of keys, both ends included.
@@ -59,16 +56,16 @@
 // Overlaps reports whether two ranges share a key.
 func (r Range) Overlaps(other Range) bool { return r.First <= other.Last && other.First <= r.Last }
 
-// Held is a range that an instance holds or still works on.
+// Held is a range that an instance holds or still processes requests for.
 type Held struct {
 	Range
 	Fence directory.Fence
 }
 
-// Released is a range that an instance let go.
+// Released is a range that an instance has released.
 type Released struct {
 	Range
-	// Handover is for the next holder.
+	// Handover is passed to the next holder.
 	Handover string
 }
 
@@ -80,9 +77,9 @@
 	Zone     string
 	Slots    int
 	Draining bool
-	// WarmUp is how much longer the instance is slow from its start.
+	// WarmUp is the remaining time for which the instance is slow after its start.
 	WarmUp time.Duration
-	// Sequence rises with each heartbeat of the instance.
+	// Sequence increases with each heartbeat of the instance.
 	Sequence uint64
 	Held     []Held
 	Released []Released
@@ -90,62 +87,63 @@
 
 // Grant is the answer to a heartbeat.
 type Grant struct {
-	// Renewed is false for an answer that renews nothing.
+	// Renewed is false if the answer does not renew the lease.
 	Renewed  bool
 	Holdings []directory.Holding
 	Lease    time.Duration
 }
 
-// contact is what this leader knows of an instance from its heartbeats.
-type contact struct {
-	beatAt time.Duration
-	// interval is the time between two regular heartbeats, as last seen.
+// heartbeatState is what this leader knows about an instance from its heartbeats.
+type heartbeatState struct {
+	// receivedAt is when the newest heartbeat was received.
+	receivedAt time.Duration
+	// interval is the most recently observed time between two regular heartbeats.
 	interval time.Duration
 	sequence uint64
-	// inSequence is true once a heartbeat came after another one of the same term, so
-	// that it is surely newer. The first one may have been sent long ago, and says
-	// nothing of what the instance holds now.
+	// inSequence is true once a second heartbeat was received in the same term, which is certainly
+	// newer than the first. The first one may have been sent long ago, and does not show what the
+	// instance holds now.
 	inSequence bool
-	// leaseEnd is when the last lease that the instance may hold has surely ended.
+	// leaseEnd is the time after which the last lease of the instance has certainly expired.
 	leaseEnd time.Duration
-	// returned is true from the heartbeat that came after the end of a lease until it is
-	// answered: the batch that took it may have passed on the keys before, and is not applied
-	// yet.
-	returned bool
-	warmAt   time.Duration
-	slots    int
-	// answerableUntil is until when the answer to the newest heartbeat can still carry
-	// what is decided; zero once it was given.
+	// returnedAfterExpiry is true from a heartbeat after the expiry of the lease until that heartbeat
+	// is answered: its batch may also reassign the keys, and is not applied yet.
+	returnedAfterExpiry bool
+	// warmAt is when the warm-up of the instance ends.
+	warmAt time.Duration
+	slots  int
+	// answerableUntil is until when the answer to the newest heartbeat can still carry a decision;
+	// zero once it was sent.
 	answerableUntil time.Duration
-	// drainsSince is when the instance first said that it leaves, or its zone was found
-	// evacuated; zero while it stays.
-	drainsSince time.Duration
-	// held is what the instance held at its last heartbeat.
+	// drainingSince is when the instance first reported that it drains, or its zone was found
+	// evacuated; zero otherwise.
+	drainingSince time.Duration
+	// held is what the instance held according to its newest heartbeat.
 	held []Held
 }
 
-// holds reports whether the instance holds keys already, so that it needs no handover
+// holds reports whether the instance already holds the keys of a holding, so that it needs no handover
 // for them.
-func (c *contact) holds(holding directory.Holding) bool {
-	return slices.ContainsFunc(c.held, func(held Held) bool {
+func (s *heartbeatState) holds(holding directory.Holding) bool {
+	return slices.ContainsFunc(s.held, func(held Held) bool {
 		return held.Fence == holding.Fence && held.First <= holding.First && holding.Last <= held.Last
 	})
 }
 
-// shortestInterval is less than the time between two regular heartbeats, and more
-// than that between those of an instance that lets keys go.
-const shortestInterval = 300 * time.Millisecond
+// minRegularInterval is shorter than the time between two regular heartbeats, and longer than the time
+// between those of an instance that is releasing keys.
+const minRegularInterval = 300 * time.Millisecond
 
-func (c *contact) noteInterval(now time.Duration) {
-	if elapsed := now - c.beatAt; c.beatAt > 0 && elapsed > shortestInterval {
-		c.interval = elapsed
+func (s *heartbeatState) updateInterval(now time.Duration) {
+	if elapsed := now - s.receivedAt; s.receivedAt > 0 && elapsed > minRegularInterval {
+		s.interval = elapsed
 	}
 }
 
-// drains returns for how long the instance has said that it leaves.
-func (c *contact) drains(now time.Duration) time.Duration {
-	if c.drainsSince == 0 {
-		c.drainsSince = now
+// drainingFor returns how long the instance has been draining, and starts the count at the first call.
+func (s *heartbeatState) drainingFor(now time.Duration) time.Duration {
+	if s.drainingSince == 0 {
+		s.drainingSince = now
 	}
-	return now - c.drainsSince
+	return now - s.drainingSince
 }
