--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -260,7 +260,7 @@
 	_ = k.guarded(&sender, func() {
 		k.core.HearGateway(k.replica.clock.Now(), gateway, report.Gateway)
 		for _, service := range report.Services {
-			k.core.Count(k.replica.clock.Now(), service)
+			k.core.AddReport(k.replica.clock.Now(), service)
 		}
 	})
 }
--- a/internal/heartbeat/core_test.go
+++ b/internal/heartbeat/core_test.go
@@ -224,7 +224,7 @@
 		for key := range uint16(64) {
 			report.Keys, report.Counts = append(report.Keys, key*1000), append(report.Counts, 1)
 		}
-		s.core.Count(s.now, report)
+		s.core.AddReport(s.now, report)
 		for _, id := range ids {
 			s.now += 300 * time.Millisecond
 			beatWithHoldings(t, s, id)
--- a/internal/heartbeat/demand.go
+++ b/internal/heartbeat/demand.go
@@ -110,8 +110,8 @@
 	return found && timing.serviceTimeAtLimit(now, 1) > 0
 }
 
-// Count adds a gateway's report to the demand for its service.
-func (c *Core) Count(now time.Duration, report Report) {
+// AddReport adds a gateway's report to the demand for its service.
+func (c *Core) AddReport(now time.Duration, report Report) {
 	c.demandOf(now, report.Service).addReport(now, report, c.slotsOf)
 }
 
--- a/internal/heartbeat/demand_test.go
+++ b/internal/heartbeat/demand_test.go
@@ -110,7 +110,7 @@
 	for _, id := range ids {
 		report.Instances = append(report.Instances, InstanceReport{ID: id, Answered: 1, BusyMs: 100})
 	}
-	s.core.Count(s.now, report)
+	s.core.AddReport(s.now, report)
 }
 
 // maxAnswerRanges is the number of ranges that fit an answer of 4 KiB.
@@ -156,7 +156,7 @@
 			for _, other := range ids {
 				report.Instances = append(report.Instances, InstanceReport{ID: other, Answered: 1, BusyMs: 60})
 			}
-			s.core.Count(s.now, report)
+			s.core.AddReport(s.now, report)
 			beatWithHoldings(t, s, id)
 		}
 		s.apply(s.core.Tick(s.now, s.view)...)
--- a/internal/heartbeat/fleet_bench_test.go
+++ b/internal/heartbeat/fleet_bench_test.go
@@ -56,7 +56,7 @@
 	for _, holding := range view.Layout("s").Holdings {
 		report.Keys, report.Counts = append(report.Keys, uint16(holding.First)), append(report.Counts, 1+uint16(holding.First%3))
 	}
-	core.Count(now, report)
+	core.AddReport(now, report)
 	return core, view, now
 }
 
--- a/internal/heartbeat/isolate_test.go
+++ b/internal/heartbeat/isolate_test.go
@@ -31,7 +31,7 @@
 			const answered = 3
 			report.Instances = append(report.Instances, InstanceReport{ID: id, Answered: answered, BusyMs: answered * latency})
 		}
-		s.core.Count(s.now, report)
+		s.core.AddReport(s.now, report)
 		for _, id := range []directory.InstanceID{"i0", "i1", "i2", "i3"} {
 			beatWithHoldings(t, s, id)
 		}
@@ -139,7 +139,7 @@
 	}
 	s.core.config.HoldBack = 600 * time.Millisecond
 	report := Report{Service: "s", Keys: []uint16{hotTestKey}, Counts: []uint16{200}}
-	s.core.Count(s.now, report)
+	s.core.AddReport(s.now, report)
 	held, _ := s.view.Layout("s").At(hotTestKey)
 	fastest := s.core.heartbeats["i2"]
 	isolate := func() bool {
--- a/internal/heartbeat/model_test.go
+++ b/internal/heartbeat/model_test.go
@@ -223,7 +223,7 @@
 	for _, instance := range m.instances {
 		report.Instances = append(report.Instances, InstanceReport{ID: instance.id, Answered: 1, BusyMs: 100})
 	}
-	m.core.Count(m.now, report)
+	m.core.AddReport(m.now, report)
 }
 
 // beat sends a heartbeat. Some are lost.
--- a/internal/heartbeat/poll_test.go
+++ b/internal/heartbeat/poll_test.go
@@ -19,7 +19,7 @@
 		for _, id := range []directory.InstanceID{"a", "b"} {
 			report.Instances = append(report.Instances, InstanceReport{ID: id, Answered: 2, BusyMs: 100})
 		}
-		s.core.Count(s.now, report)
+		s.core.AddReport(s.now, report)
 	}
 }
 
@@ -186,7 +186,7 @@
 		report.Keys, report.Counts = append(report.Keys, uint16(holding.First)), append(report.Counts, count)
 	}
 	now += 100 * time.Millisecond
-	l.core.Count(now, report)
+	l.core.AddReport(now, report)
 	slow := 0
 	for number := range instances {
 		beat := Beat{
--- a/internal/heartbeat/steady_test.go
+++ b/internal/heartbeat/steady_test.go
@@ -60,7 +60,7 @@
 		for id, count := range answered {
 			report.Instances = append(report.Instances, InstanceReport{ID: id, Answered: count, BusyMs: count * l.busyMs[id], Limit: l.limits[id]})
 		}
-		s.core.Count(s.now, report)
+		s.core.AddReport(s.now, report)
 		for index, id := range l.ids {
 			if index%reports == step {
 				beatWithHoldings(s.t, s, id)
--- a/internal/heartbeat/throttle_test.go
+++ b/internal/heartbeat/throttle_test.go
@@ -18,7 +18,7 @@
 		for _, id := range []directory.InstanceID{"a", "b"} {
 			report.Instances = append(report.Instances, InstanceReport{ID: id, Answered: 2, BusyMs: 200})
 		}
-		s.core.Count(s.now, report)
+		s.core.AddReport(s.now, report)
 		s.tick(interval)
 		for _, id := range []directory.InstanceID{"a", "b"} {
 			if _, err := s.beatInZone(id, ""); err != nil {
--- a/internal/heartbeat/times_test.go
+++ b/internal/heartbeat/times_test.go
@@ -17,7 +17,7 @@
 		for id, serviceTime := range milliseconds {
 			report.Instances = append(report.Instances, InstanceReport{ID: id, Answered: answered, BusyMs: answered * serviceTime})
 		}
-		s.core.Count(s.now, report)
+		s.core.AddReport(s.now, report)
 		for _, command := range s.core.Tick(s.now, s.view) {
 			published += len(command.Times)
 			s.apply(command)
@@ -92,7 +92,7 @@
 	s := newUnkeyedScript(t, "a", "b")
 	for index, milliseconds := range []uint32{40, 300, 90} {
 		s.now += time.Second
-		s.core.Count(s.now, Report{Service: "other", Instances: []InstanceReport{
+		s.core.AddReport(s.now, Report{Service: "other", Instances: []InstanceReport{
 			{ID: "a", Answered: 1, BusyMs: milliseconds}, {ID: "b", Answered: 1, BusyMs: 100},
 		}})
 		if commands := s.core.Tick(s.now, s.view); len(commands) > 0 {
--- a/internal/lab/sim/lease_run.go
+++ b/internal/lab/sim/lease_run.go
@@ -229,5 +229,5 @@
 	for _, each := range s.leaseWorld.instances {
 		report.Instances = append(report.Instances, heartbeat.InstanceReport{ID: each.id, Answered: 1, BusyMs: busyMs})
 	}
-	k.core.Count(k.replica.host.Now(), report)
+	k.core.AddReport(k.replica.host.Now(), report)
 }
