--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -226,7 +226,7 @@
 	if leadership.Err() != nil || k.term != leadership {
 		return heartbeat.Grant{}, errLeadershipLost()
 	}
-	if !k.core.Newest(beat) {
+	if !k.core.IsNewest(beat) {
 		return heartbeat.Grant{}, fault.Newf(fault.Conflict, "sequence %d is not the newest: a later heartbeat came while this one was held back", beat.Sequence)
 	}
 	if k.replica.clock.Now()-receivedAt > k.settings.AnswerTimeout {
--- a/internal/heartbeat/model_test.go
+++ b/internal/heartbeat/model_test.go
@@ -255,7 +255,7 @@
 		m.heldBack++
 		return
 	}
-	if !m.core.Newest(due.beat) || m.now-due.receivedAt > answerTimeout {
+	if !m.core.IsNewest(due.beat) || m.now-due.receivedAt > answerTimeout {
 		return
 	}
 	instance := due.instance
--- a/internal/heartbeat/poll.go
+++ b/internal/heartbeat/poll.go
@@ -21,7 +21,7 @@
 // wait because there is nothing new for the instance. It may be called only where Answer may be.
 func (c *Core) HoldBack(now, receivedAt time.Duration, beat Beat, view *directory.Directory) bool {
 	state := c.heartbeats[beat.Instance]
-	if !c.Newest(beat) || beat.Draining || c.config.HoldBack == 0 {
+	if !c.IsNewest(beat) || beat.Draining || c.config.HoldBack == 0 {
 		return false
 	}
 	service, found := view.Service(beat.Service)
@@ -33,9 +33,9 @@
 	return true
 }
 
-// Newest reports whether no later heartbeat of the instance has been received. An answer to an earlier
+// IsNewest reports whether no later heartbeat of the instance has been received. An answer to an earlier
 // heartbeat renews nothing, since the instance no longer waits for it.
-func (c *Core) Newest(beat Beat) bool {
+func (c *Core) IsNewest(beat Beat) bool {
 	state, tracked := c.heartbeats[beat.Instance]
 	return tracked && state.sequence == beat.Sequence
 }
--- a/internal/heartbeat/poll_test.go
+++ b/internal/heartbeat/poll_test.go
@@ -107,7 +107,7 @@
 	earlier := s.beatHeldBack("a")
 	s.now += 100 * time.Millisecond
 	s.beatHeldBack("a")
-	if s.core.Newest(earlier) || s.core.HoldBack(s.now, s.now-100*time.Millisecond, earlier, s.view) {
+	if s.core.IsNewest(earlier) || s.core.HoldBack(s.now, s.now-100*time.Millisecond, earlier, s.view) {
 		t.Error("the answer to an earlier heartbeat is held back or counts as the newest")
 	}
 }
--- a/internal/lab/sim/lease_keeper.go
+++ b/internal/lab/sim/lease_keeper.go
@@ -161,7 +161,7 @@
 	look = func() {
 		now := k.replica.host.Now()
 		switch {
-		case !k.leads(leadership) || !k.core.Newest(beat) || now-receivedAt > keeperAnswerTimeout:
+		case !k.leads(leadership) || !k.core.IsNewest(beat) || now-receivedAt > keeperAnswerTimeout:
 		case k.core.HoldBack(now, receivedAt, beat, k.replica.state.Directory()):
 			owner.after(holdBackLook, look)
 		default:
