--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -258,7 +258,7 @@
 	}
 	// A report that meets a defect is lost; the line in the log says so.
 	_ = k.guarded(&sender, func() {
-		k.core.HearGateway(k.replica.clock.Now(), gateway, report.Gateway)
+		k.core.RecordGateway(k.replica.clock.Now(), gateway, report.Gateway)
 		for _, service := range report.Services {
 			k.core.AddReport(k.replica.clock.Now(), service)
 		}
--- a/internal/heartbeat/evacuate_test.go
+++ b/internal/heartbeat/evacuate_test.go
@@ -186,21 +186,21 @@
 func TestGatewaysAreCounted(t *testing.T) {
 	s := newScriptWithLayout(t)
 	for _, name := range []string{"g1", "g2", "g3", "g1"} {
-		s.core.HearGateway(s.now, name, nil)
+		s.core.RecordGateway(s.now, name, nil)
 	}
 	s.tick(time.Second)
 	if got := s.view.Gateways(); got != 3 {
 		t.Fatalf("%d gateways are counted, want 3", got)
 	}
 	for range 50 {
-		s.core.HearGateway(s.now, "g1", nil)
+		s.core.RecordGateway(s.now, "g1", nil)
 		s.tick(time.Second)
 	}
 	if got := s.view.Gateways(); got != 3 {
 		t.Errorf("%d gateways are counted after 50 s, want 3", got)
 	}
 	for range 30 {
-		s.core.HearGateway(s.now, "g1", nil)
+		s.core.RecordGateway(s.now, "g1", nil)
 		s.tick(time.Second)
 	}
 	if got := s.view.Gateways(); got != 1 {
--- a/internal/heartbeat/gateways.go
+++ b/internal/heartbeat/gateways.go
@@ -34,9 +34,9 @@
 	offer   GatewayOffer
 }
 
-// HearGateway records a report of a gateway to this leader. A gateway sends its offer once per
+// RecordGateway records a report of a gateway to this leader. A gateway sends its offer once per
 // connection; offer is nil otherwise.
-func (c *Core) HearGateway(now time.Duration, name string, offer *GatewayOffer) {
+func (c *Core) RecordGateway(now time.Duration, name string, offer *GatewayOffer) {
 	state := c.gateways[name]
 	state.heardAt = now
 	if offer != nil {
--- a/internal/heartbeat/keepers_test.go
+++ b/internal/heartbeat/keepers_test.go
@@ -30,7 +30,7 @@
 			s.now += 250 * time.Millisecond
 			for name, offer := range offers {
 				if !slices.Contains(silent, name) {
-					s.core.HearGateway(s.now, name, offer)
+					s.core.RecordGateway(s.now, name, offer)
 				}
 			}
 			s.apply(s.core.Tick(s.now, s.view)...)
