--- a/internal/controller/heartbeats.go
+++ b/internal/controller/heartbeats.go
@@ -226,7 +226,7 @@
 	if leadership.Err() != nil || k.term != leadership {
 		return heartbeat.Grant{}, errLeadershipLost()
 	}
-	if !k.core.Newest(beat) {
+	if !k.core.IsNewest(beat) {
 		return heartbeat.Grant{}, fault.Newf(fault.Conflict, "sequence %d is not the newest: a later heartbeat came while this one was held back", beat.Sequence)
 	}
 	if k.replica.clock.Now()-receivedAt > k.settings.AnswerTimeout {
@@ -258,9 +258,9 @@
 	}
 	// A report that meets a defect is lost; the line in the log says so.
 	_ = k.guarded(&sender, func() {
-		k.core.HearGateway(k.replica.clock.Now(), gateway, report.Gateway)
+		k.core.RecordGateway(k.replica.clock.Now(), gateway, report.Gateway)
 		for _, service := range report.Services {
-			k.core.Count(k.replica.clock.Now(), service)
+			k.core.AddReport(k.replica.clock.Now(), service)
 		}
 	})
 }
