--- a/internal/quota/alone.go
+++ b/internal/quota/alone.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// chargeTime is for how long a request that went without the leader counts against the limit of
-// its instance. Limits bind over windows of this length, so that an older request takes no room
-// from a later one.
-const chargeTime = 4 * time.Second
+// chargeWindow is how long a request sent without the leader counts against the limit of its
+// instance. Limits apply to windows of this length, so an older request takes no capacity from
+// later ones.
+const chargeWindow = 4 * time.Second
 
-// sentAlone are the times at which requests went to an instance without the leader, which has not
-// been told of them, the oldest first.
-type sentAlone []time.Duration
+// unreportedSends are the times at which requests were sent to an instance without the leader and
+// not yet reported to it, oldest first.
+type unreportedSends []time.Duration
 
-// add notes a request and drops those that do not count any more.
-func (s *sentAlone) add(now time.Duration) {
+// add records a request and drops those that no longer count.
+func (s *unreportedSends) add(now time.Duration) {
 	s.expire(now)
 	*s = append(*s, now)
 }
 
-// tell returns how many requests count and how long ago the last of them went, in milliseconds,
-// and forgets them.
-func (s *sentAlone) tell(now time.Duration) (count, lastAgoMs uint32) {
+// report returns how many requests still count and the age of the last one in milliseconds, and
+// clears them.
+func (s *unreportedSends) report(now time.Duration) (count, lastAgoMs uint32) {
 	s.expire(now)
 	if len(*s) == 0 {
 		return 0, 0
@@ -30,8 +30,8 @@
 	return count, lastAgoMs
 }
 
-func (s *sentAlone) expire(now time.Duration) {
-	for len(*s) > 0 && now-(*s)[0] >= chargeTime {
+func (s *unreportedSends) expire(now time.Duration) {
+	for len(*s) > 0 && now-(*s)[0] >= chargeWindow {
 		*s = (*s)[1:]
 	}
 }
--- a/internal/quota/doc.go
+++ b/internal/quota/doc.go
@@ -1,18 +1,18 @@
-// Package quota bounds requests that are counted over all gateways together, by tokens: those of
-// each tenant with a limit, and those to each instance that names one. The leading controller
-// keeps a Ledger: a token bucket for each subject, a tenant or an instance. Each gateway keeps
-// Accounts: what it has of the tokens of each subject. A request takes a token, waits for the
-// way to the leader and back where there is none, and is rejected only if the leader has none
-// left.
+// Package quota enforces rate limits across all gateways with token buckets: the limit of each
+// tenant that has one, and the limit that an instance advertises for itself. The leading controller
+// keeps a Ledger, with one bucket for each subject, a tenant or an instance. Each gateway keeps
+// Accounts, the tokens that it holds of each subject. A request takes a token. If the gateway has
+// none, the request waits for one round trip to the leader, and is rejected only if the leader has
+// no token left.
 //
-// A Policy says how tokens are given out. Gateways keep a small stock of a tenant's, asked for
-// ahead of need. An instance's limit is low and binds within seconds, so that its tokens are
-// asked for by requests that wait, and the last ones are kept for the most urgent.
+// A Policy determines how tokens are granted. Gateways prefetch a small stock of a tenant's tokens.
+// An instance's limit is low and must hold within seconds, so its tokens are requested only for
+// requests that already wait, and the last ones in the bucket are reserved for the most urgent.
 //
-// A gateway that the leader does not answer goes on at the rate at which it last took tokens,
-// lowered a little, for a bounded time. The leader keeps as much back for each gateway that
-// has fallen silent, so that the sum stays within the limit whatever is cut. A new leader
-// knows nothing and begins with empty buckets.
+// While the leader does not answer, a gateway continues for a bounded time at slightly less than
+// the rate at which it last took tokens. The leader reserves the same rate for each gateway that
+// stops reporting, so the sum stays within the limit under any network partition. A new leader has
+// no state and starts with empty buckets.
 //
-// All are pure cores: they read no clock and are not safe for concurrent use.
+// The types of this package read no clock and are not safe for concurrent use.
 package quota
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -7,307 +7,315 @@
 )
 
 const (
-	// gatewaySilence is how long a gateway may be silent before what it may use without the
-	// leader is kept back for it: gateways report once a second at least.
-	gatewaySilence = 1500 * time.Millisecond
-	// reserveInterval is the least time between two looks at silent gateways.
+	// maxGatewaySilence is how long a gateway may be silent before the leader reserves the rate
+	// that the gateway may use without it. Gateways report at least once per second.
+	maxGatewaySilence = 1500 * time.Millisecond
+	// reserveInterval is the minimum time between two checks for silent gateways.
 	reserveInterval = 200 * time.Millisecond
-	// mostShort bounds the time after which a gateway that got too few tokens asks again.
-	mostShort = 5 * time.Second
-	// mostTold bounds the subjects that one answer tells of, some 4 KB.
-	mostTold = 128
+	// maxTokenWait bounds the expected time until the next token that a gateway is told.
+	maxTokenWait = 5 * time.Second
+	// maxGrants bounds the subjects in one answer to some 4 KB.
+	maxGrants = 128
 )
 
-func decay(elapsed time.Duration) float64 { return math.Exp(-elapsed.Seconds() / rateMemory.Seconds()) }
+func decay(elapsed time.Duration) float64 {
+	return math.Exp(-elapsed.Seconds() / rateTimeConstant.Seconds())
+}
 
-// Ledger counts the tokens of all subjects while this process leads.
+// Ledger accounts for the tokens of all subjects while this process leads.
 type Ledger struct {
 	policy Policy
-	// slack is how many requests of a subject beyond its limit do no harm: half of them
-	// deepen its bucket, so that chance does not reject requests of one that stays within.
+	// slack is the number of requests beyond a subject's limit that are tolerated. Half of it is
+	// added to the bucket depth, so that random bursts of a subject within its limit are not
+	// rejected.
 	slack    float64
 	buckets  map[string]*bucket
 	gateways map[string]*gateway
-	// short are the subjects that have no token left: each gateway is told of them, so that none
-	// takes any in advance.
-	short map[string]bool
-	// leadSince is when the term of leadership began, and reservedAt when silent gateways were
-	// looked at last.
-	leadSince  time.Duration
-	reservedAt time.Duration
+	// exhausted holds the subjects that have no token left. Each gateway is told of them, so that
+	// none uses tokens of theirs before they are granted.
+	exhausted map[string]bool
+	// leadSince is when the leadership term began, reserveCheckedAt when silent gateways were last
+	// checked.
+	leadSince        time.Duration
+	reserveCheckedAt time.Duration
 }
 
-// bucket has the tokens of one subject that no gateway has.
+// bucket holds the tokens of one subject that are not granted to any gateway.
 type bucket struct {
-	limit  Limit
-	tokens float64
-	at     time.Duration
-	// outstanding are tokens that gateways got and have not told the use of.
+	limit     Limit
+	tokens    float64
+	updatedAt time.Duration
+	// outstanding are tokens granted to gateways that have not yet reported their use.
 	outstanding float64
-	// reserved is the rate, in tokens a second, that silent gateways may use.
+	// reserved is the rate, in tokens per second, that silent gateways may be using.
 	reserved float64
-	// granted is the rate at which all gateways take tokens, and lacking that of tokens that they
-	// wanted and did not get.
+	// granted is the rate at which all gateways take tokens, unmet the rate of tokens that were
+	// wanted but not granted.
 	granted smoothedRate
-	lacking smoothedRate
+	unmet   smoothedRate
 }
 
-// gateway is what one gateway has of each subject.
+// gateway holds the allocations of one gateway, by subject.
 type gateway struct {
-	heardAt time.Duration
-	shares  map[string]*share
+	heardAt     time.Duration
+	allocations map[string]*allocation
 }
 
-type share struct {
+// allocation is what one gateway holds of one subject.
+type allocation struct {
 	outstanding float64
 	used        smoothedRate
-	// granted are tokens on demand that may be given back, a bucket of them at most.
+	// granted are the on-demand tokens that may still be returned, at most one bucket depth.
 	granted float64
 }
 
-// NewLedger returns a ledger that knows of no gateway.
+// NewLedger returns a ledger without gateways or buckets.
 func NewLedger(policy Policy, slack float64) *Ledger {
 	ledger := &Ledger{policy: policy, slack: slack}
 	ledger.Lead(0)
 	return ledger
 }
 
-// Lead begins a term of leadership: what gateways have is unknown, and buckets are empty.
+// Lead begins a leadership term. The gateways' tokens are unknown and all buckets are empty.
 func (l *Ledger) Lead(now time.Duration) {
 	l.leadSince = now
 	l.buckets = make(map[string]*bucket)
 	l.gateways = make(map[string]*gateway)
-	l.short = make(map[string]bool)
-	l.reservedAt = 0
+	l.exhausted = make(map[string]bool)
+	l.reserveCheckedAt = 0
 }
 
-// Connect notes a new connection of a gateway: what it has of tokens it will not tell the use
-// of, so that they count as used.
-func (l *Ledger) Connect(name string) {
-	known, met := l.gateways[name]
-	if !met {
+// Connect records a new connection of a gateway. The gateway will not report the use of the tokens
+// it held before, so they count as used.
+func (l *Ledger) Connect(gatewayName string) {
+	gw, ok := l.gateways[gatewayName]
+	if !ok {
 		return
 	}
-	for subject, own := range known.shares {
-		l.takeBack(subject, own)
-		own.outstanding = 0
+	for subject, held := range gw.allocations {
+		l.discardOutstanding(subject, held)
+		held.outstanding = 0
 	}
 }
 
-// Hear takes the asks of a gateway, none to tell only that it is alive, and returns what it is
-// granted. LimitOf returns the limit of a subject, false for one without.
-func (l *Ledger) Hear(now time.Duration, name string, asks []Ask, limitOf func(subject string) (Limit, bool)) []Grant {
-	known, met := l.gateways[name]
-	if !met {
-		known = &gateway{shares: make(map[string]*share)}
-		l.gateways[name] = known
+// Hear processes the asks of a gateway and returns its grants. Without asks it only records that
+// the gateway is alive. LimitOf returns the limit of a subject, or false if it has none.
+func (l *Ledger) Hear(now time.Duration, gatewayName string, asks []Ask, limitOf func(subject string) (Limit, bool)) []Grant {
+	gw, ok := l.gateways[gatewayName]
+	if !ok {
+		gw = &gateway{allocations: make(map[string]*allocation)}
+		l.gateways[gatewayName] = gw
 	}
-	known.heardAt = now
+	gw.heardAt = now
 	l.reserve(now)
 	var grants []Grant
 	for _, ask := range asks {
 		limit, limited := limitOf(ask.Subject)
 		switch {
 		case !limited:
-			// Granted at once: a gateway may not know yet that the limit is gone.
+			// Granted in full: the gateway may not know yet that the limit was removed.
 			grants = append(grants, Grant{Subject: ask.Subject, Tokens: ask.Want})
 			l.Forget(ask.Subject)
 		case l.policy.OnDemand:
-			grants = append(grants, l.grantOnDemand(now, known, ask, limit))
+			grants = append(grants, l.grantOnDemand(now, gw, ask, limit))
 		default:
-			grants = append(grants, l.grant(now, known, ask, limit))
+			grants = append(grants, l.grant(now, gw, ask, limit))
 		}
 	}
 	if l.policy.OnDemand {
 		return grants
 	}
-	return l.tellShort(now, grants)
+	return l.appendExhausted(now, grants)
 }
 
-// grantOnDemand grants tokens for requests that wait, and counts them as used. The last tokens of
-// a bucket are kept for the most urgent requests.
-func (l *Ledger) grantOnDemand(now time.Duration, known *gateway, ask Ask, limit Limit) Grant {
-	filled := l.bucket(now, ask.Subject, limit)
-	own := known.share(ask.Subject)
-	returned := min(float64(ask.Returned), own.granted)
-	// What went without the leader is owed, a burst at most.
+// grantOnDemand grants tokens for waiting requests and counts them as used. The last tokens of a
+// bucket are reserved for the most urgent requests.
+func (l *Ledger) grantOnDemand(now time.Duration, gw *gateway, ask Ask, limit Limit) Grant {
+	bucket := l.bucket(now, ask.Subject, limit)
+	held := gw.allocation(ask.Subject)
+	returned := min(float64(ask.Returned), held.granted)
+	// Requests sent without the leader are charged to the bucket, up to a debt of one burst.
 	owed := l.owed(now, ask, limit)
-	filled.tokens = max(min(filled.tokens+returned, l.room(filled))-owed, -max(1, limit.Burst))
-	kept := l.keptFor(limit, ask.Urgency)
-	tokens := math.Floor(min(float64(ask.Want), max(0, filled.tokens-kept)))
-	filled.tokens -= tokens
-	own.granted = min(own.granted-returned+tokens, l.depth(limit))
-	own.used.add(now, tokens)
-	filled.granted.add(now, tokens)
-	filled.lacking.add(now, float64(ask.Want)-tokens)
-	return Grant{Subject: ask.Subject, Tokens: uint32(tokens), ShortMs: filled.short(now, ask, tokens)}
+	bucket.tokens = max(min(bucket.tokens+returned, l.headroom(bucket))-owed, -max(1, limit.Burst))
+	reserve := l.urgentReserve(limit, ask.Urgency)
+	tokens := math.Floor(min(float64(ask.Want), max(0, bucket.tokens-reserve)))
+	bucket.tokens -= tokens
+	held.granted = min(held.granted-returned+tokens, l.depth(limit))
+	held.used.add(now, tokens)
+	bucket.granted.add(now, tokens)
+	bucket.unmet.add(now, float64(ask.Want)-tokens)
+	return Grant{Subject: ask.Subject, Tokens: uint32(tokens), ShortMs: bucket.shortMs(now, ask, tokens)}
 }
 
-// owed returns how many of the requests that went without the leader are taken out of the bucket.
-// The empty bucket that a term begins with stands for all that went before it.
+// owed returns how many of the requests sent without the leader are charged to the bucket. Requests
+// sent before the term began are not charged: the empty bucket at its start accounts for them.
 func (l *Ledger) owed(now time.Duration, ask Ask, limit Limit) float64 {
-	lastAgo := time.Duration(ask.UsedAgoMs) * time.Millisecond
-	if lastAgo > now-l.leadSince {
+	lastAge := time.Duration(ask.UsedAgoMs) * time.Millisecond
+	if lastAge > now-l.leadSince {
 		return 0
 	}
 	return min(float64(ask.Used), limit.Rate+1)
 }
 
-// keptFor returns how many tokens of a bucket are kept from requests of an urgency for more
-// urgent ones.
-func (l *Ledger) keptFor(limit Limit, urgency uint8) float64 {
+// urgentReserve returns how many tokens of a bucket are reserved for requests more urgent than the
+// given urgency.
+func (l *Ledger) urgentReserve(limit Limit, urgency uint8) float64 {
 	depth := l.depth(limit)
 	lessUrgent := 1 - float64(min(urgency, MostUrgent))/MostUrgent
 	return min(lessUrgent*l.policy.UrgentShare*depth, depth-1)
 }
 
-// tellShort adds the subjects that have no token left to what a gateway is told.
-func (l *Ledger) tellShort(now time.Duration, grants []Grant) []Grant {
-	for subject := range l.short {
-		filled := l.bucket(now, subject, l.buckets[subject].limit)
-		if filled.tokens >= 1 {
-			delete(l.short, subject)
+// appendExhausted adds the subjects that have no token left to the grants for a gateway.
+func (l *Ledger) appendExhausted(now time.Duration, grants []Grant) []Grant {
+	for subject := range l.exhausted {
+		bucket := l.bucket(now, subject, l.buckets[subject].limit)
+		if bucket.tokens >= 1 {
+			delete(l.exhausted, subject)
 			continue
 		}
-		asked := slices.ContainsFunc(grants, func(grant Grant) bool { return grant.Subject == subject })
-		if !asked && len(grants) < mostTold {
-			grants = append(grants, Grant{Subject: subject, ShortMs: filled.expected(now)})
+		answered := slices.ContainsFunc(grants, func(grant Grant) bool { return grant.Subject == subject })
+		if !answered && len(grants) < maxGrants {
+			grants = append(grants, Grant{Subject: subject, ShortMs: bucket.nextTokenMs(now)})
 		}
 	}
 	return grants
 }
 
-// Forget drops a subject without a limit.
+// Forget drops the state of a subject that no longer has a limit.
 func (l *Ledger) Forget(subject string) {
 	delete(l.buckets, subject)
-	delete(l.short, subject)
-	for _, each := range l.gateways {
-		delete(each.shares, subject)
+	delete(l.exhausted, subject)
+	for _, gw := range l.gateways {
+		delete(gw.allocations, subject)
 	}
 }
 
-// share returns what a gateway has of a subject.
-func (g *gateway) share(subject string) *share {
-	own, met := g.shares[subject]
-	if !met {
-		own = &share{}
-		g.shares[subject] = own
+// allocation returns what the gateway holds of a subject.
+func (g *gateway) allocation(subject string) *allocation {
+	held, ok := g.allocations[subject]
+	if !ok {
+		held = &allocation{}
+		g.allocations[subject] = held
 	}
-	return own
+	return held
 }
 
-func (l *Ledger) grant(now time.Duration, known *gateway, ask Ask, limit Limit) Grant {
-	filled := l.bucket(now, ask.Subject, limit)
-	own := known.share(ask.Subject)
-	// Counts beyond what it can have used or have left are wrong, and bounded. Tokens used in
-	// advance, beyond those that it had, are taken out of the bucket now.
-	used := min(float64(ask.Used), own.outstanding+limit.Rate+1)
-	granted := min(used, own.outstanding)
-	returned := min(float64(ask.Returned), own.outstanding-granted)
-	own.outstanding -= granted + returned
-	own.used.add(now, used)
-	filled.outstanding -= granted + returned
-	filled.tokens = min(filled.tokens+returned-(used-granted), l.room(filled))
-	tokens := math.Floor(min(float64(ask.Want), max(0, filled.tokens)))
-	filled.tokens -= tokens
-	filled.outstanding += tokens
-	filled.granted.add(now, tokens)
-	own.outstanding += tokens
-	if filled.tokens < 1 {
-		l.short[ask.Subject] = true
+func (l *Ledger) grant(now time.Duration, gw *gateway, ask Ask, limit Limit) Grant {
+	bucket := l.bucket(now, ask.Subject, limit)
+	held := gw.allocation(ask.Subject)
+	// A gateway cannot have used or returned more than this, so larger counts are wrong and capped.
+	// Tokens used before they were granted, beyond those outstanding, are taken out of the bucket
+	// now.
+	used := min(float64(ask.Used), held.outstanding+limit.Rate+1)
+	granted := min(used, held.outstanding)
+	returned := min(float64(ask.Returned), held.outstanding-granted)
+	held.outstanding -= granted + returned
+	held.used.add(now, used)
+	bucket.outstanding -= granted + returned
+	bucket.tokens = min(bucket.tokens+returned-(used-granted), l.headroom(bucket))
+	tokens := math.Floor(min(float64(ask.Want), max(0, bucket.tokens)))
+	bucket.tokens -= tokens
+	bucket.outstanding += tokens
+	bucket.granted.add(now, tokens)
+	held.outstanding += tokens
+	if bucket.tokens < 1 {
+		l.exhausted[ask.Subject] = true
 	}
-	filled.lacking.add(now, float64(ask.Want)-tokens)
-	return Grant{Subject: ask.Subject, Tokens: uint32(tokens), ShortMs: filled.short(now, ask, tokens)}
+	bucket.unmet.add(now, float64(ask.Want)-tokens)
+	return Grant{Subject: ask.Subject, Tokens: uint32(tokens), ShortMs: bucket.shortMs(now, ask, tokens)}
 }
 
-// backlog is the time for which tokens that gateways lacked are expected to be asked for again.
-const backlog = 200 * time.Millisecond
+// unmetWindow is the time within which gateways are expected to ask again for tokens that they did
+// not get.
+const unmetWindow = 200 * time.Millisecond
 
-// short returns in how many milliseconds a token is expected that no other gateway takes; zero if
-// all were granted.
-func (b *bucket) short(now time.Duration, ask Ask, tokens float64) uint32 {
+// shortMs returns the value of Grant.ShortMs: the expected time in milliseconds until a token is
+// available that no other gateway takes, or zero if all were granted.
+func (b *bucket) shortMs(now time.Duration, ask Ask, tokens float64) uint32 {
 	if tokens >= float64(ask.Want) {
 		return 0
 	}
-	return b.expected(now)
+	return b.nextTokenMs(now)
 }
 
-// expected returns in how many milliseconds a token is expected that no other gateway takes.
-func (b *bucket) expected(now time.Duration) uint32 {
-	wait := mostShort
+// nextTokenMs returns the expected time in milliseconds until a token is available that no other
+// gateway takes.
+func (b *bucket) nextTokenMs(now time.Duration) uint32 {
+	wait := maxTokenWait
 	if rate := b.rate(); rate > 0 {
-		before := max(0, b.lacking.value(now)*backlog.Seconds()-b.tokens)
-		wait = min(wait, time.Duration((1+before)/rate*float64(time.Second)))
+		tokensAhead := max(0, b.unmet.value(now)*unmetWindow.Seconds()-b.tokens)
+		wait = min(wait, time.Duration((1+tokensAhead)/rate*float64(time.Second)))
 	}
 	return uint32(max(1, wait.Milliseconds()))
 }
 
-// rate is that at which the bucket fills.
+// rate returns the rate at which the bucket fills, in tokens per second.
 func (b *bucket) rate() float64 { return max(0, b.limit.Rate-b.reserved) }
 
-// depth is the most tokens that gateways and the bucket may have together.
-func (l *Ledger) depth(limit Limit) float64 { return max(l.policy.LeastDepth, limit.Burst+l.slack/2) }
+// depth returns the maximum number of tokens that the bucket and the gateways may hold together.
+func (l *Ledger) depth(limit Limit) float64 { return max(l.policy.MinDepth, limit.Burst+l.slack/2) }
 
-// room is the most that the bucket may hold beside what gateways have.
-func (l *Ledger) room(b *bucket) float64 { return max(0, l.depth(b.limit)-b.outstanding) }
+// headroom returns the maximum number of tokens in the bucket, given what gateways hold.
+func (l *Ledger) headroom(b *bucket) float64 { return max(0, l.depth(b.limit)-b.outstanding) }
 
 // bucket returns the bucket of a subject, filled up to now.
 func (l *Ledger) bucket(now time.Duration, subject string, limit Limit) *bucket {
-	known, met := l.buckets[subject]
-	if !met {
-		known = &bucket{limit: limit, at: l.leadSince}
-		l.buckets[subject] = known
+	b, ok := l.buckets[subject]
+	if !ok {
+		b = &bucket{limit: limit, updatedAt: l.leadSince}
+		l.buckets[subject] = b
 	}
-	known.tokens += known.rate() * (now - known.at).Seconds()
-	known.at = now
-	known.limit = limit
-	known.tokens = min(known.tokens, l.room(known))
-	return known
+	b.tokens += b.rate() * (now - b.updatedAt).Seconds()
+	b.updatedAt = now
+	b.limit = limit
+	b.tokens = min(b.tokens, l.headroom(b))
+	return b
 }
 
-// reserve keeps back what silent gateways may use without the leader, and forgets those that
-// have been silent for too long.
+// reserve updates the rate reserved for gateways that are silent and may continue without the
+// leader, and drops gateways that have been silent too long.
 func (l *Ledger) reserve(now time.Duration) {
-	if now-l.reservedAt < reserveInterval {
+	if now-l.reserveCheckedAt < reserveInterval {
 		return
 	}
-	l.reservedAt = now
+	l.reserveCheckedAt = now
 	reserved := make(map[string]float64)
-	for name, each := range l.gateways {
-		silent := now - each.heardAt
-		if silent <= gatewaySilence {
+	for name, gw := range l.gateways {
+		silence := now - gw.heardAt
+		if silence <= maxGatewaySilence {
 			continue
 		}
-		for subject, own := range each.shares {
-			if silent > fallbackTime+gatewaySilence {
-				l.takeBack(subject, own)
+		for subject, held := range gw.allocations {
+			if silence > fallbackTime+maxGatewaySilence {
+				l.discardOutstanding(subject, held)
 				continue
 			}
-			reserved[subject] += fallbackShare * own.used.value(each.heardAt)
+			reserved[subject] += fallbackShare * held.used.value(gw.heardAt)
 		}
-		if silent > fallbackTime+gatewaySilence {
+		if silence > fallbackTime+maxGatewaySilence {
 			delete(l.gateways, name)
 		}
 	}
-	for subject, known := range l.buckets {
-		// Filled at the old rate up to now.
-		l.bucket(now, subject, known.limit)
-		known.reserved = reserved[subject]
+	for subject, b := range l.buckets {
+		// The bucket is filled up to now at the old rate.
+		l.bucket(now, subject, b.limit)
+		b.reserved = reserved[subject]
 	}
 }
 
-// takeBack counts the tokens of a gateway that is gone as used.
-func (l *Ledger) takeBack(subject string, own *share) {
-	if known, met := l.buckets[subject]; met {
-		known.outstanding -= own.outstanding
+// discardOutstanding counts the outstanding tokens of a lost gateway as used.
+func (l *Ledger) discardOutstanding(subject string, held *allocation) {
+	if b, ok := l.buckets[subject]; ok {
+		b.outstanding -= held.outstanding
 	}
 }
 
-// Use tells of a subject how many tokens a second gateways take, for operators.
+// Use returns the rate at which gateways take tokens of a subject, in tokens per second, for
+// operators.
 func (l *Ledger) Use(now time.Duration, subject string) float64 {
-	known, met := l.buckets[subject]
-	if !met {
+	b, ok := l.buckets[subject]
+	if !ok {
 		return 0
 	}
-	return known.granted.value(now)
+	return b.granted.value(now)
 }
--- a/internal/quota/named.go
+++ b/internal/quota/named.go
@@ -6,70 +6,71 @@
 )
 
 const (
-	// raiseAfter is how long a lower limit must not have been told before a higher one counts:
-	// some gateways hear of a limit that falls later than others.
-	raiseAfter = time.Second
-	// namedFor is how long a limit is kept that no gateway tells.
-	namedFor = time.Minute
-	// mostNamed bounds the instances with a limit.
-	mostNamed = 100_000
+	// raiseDelay is how long a lower limit must not have been reported before a higher one applies:
+	// some gateways learn of a lowered limit later than others.
+	raiseDelay = time.Second
+	// limitLifetime is how long a limit is kept that no gateway reports.
+	limitLifetime = time.Minute
+	// maxInstances bounds the instances with a limit.
+	maxInstances = 100_000
 )
 
-// NamedLimits are the limits that instances named, as gateways tell them with their asks.
+// NamedLimits are the limits that instances advertise, as gateways report them with their asks.
 type NamedLimits struct {
-	limits map[string]*namedLimit
-	// lookedAt is when limits that nobody tells were dropped last.
-	lookedAt time.Duration
+	limits map[string]*advertisedLimit
+	// expiredAt is when expired limits were last removed.
+	expiredAt time.Duration
 }
 
-type namedLimit struct {
+type advertisedLimit struct {
 	rate float64
-	// toldAt is when the rate, or a lower one, was told last.
-	toldAt time.Duration
-	// heardAt is when any rate was told last.
-	heardAt time.Duration
+	// confirmedAt is when this rate or a lower one was last reported.
+	confirmedAt time.Duration
+	// reportedAt is when any rate was last reported.
+	reportedAt time.Duration
 }
 
-// NewNamedLimits returns limits of no instance.
-func NewNamedLimits() *NamedLimits { return &NamedLimits{limits: make(map[string]*namedLimit)} }
+// NewNamedLimits returns an empty set of limits.
+func NewNamedLimits() *NamedLimits { return &NamedLimits{limits: make(map[string]*advertisedLimit)} }
 
-// Note takes a limit that a gateway tells, in requests a second. The lowest of those told of late
-// counts.
+// Note records a limit that a gateway reports, in requests per second. The lowest of the recently
+// reported limits applies.
 func (n *NamedLimits) Note(now time.Duration, instance string, rate float64) {
 	if !(rate > 0) || math.IsInf(rate, 0) {
 		return
 	}
-	known, met := n.limits[instance]
-	if !met {
-		if len(n.limits) >= mostNamed {
+	entry, ok := n.limits[instance]
+	if !ok {
+		if len(n.limits) >= maxInstances {
 			return
 		}
-		known = &namedLimit{rate: rate, toldAt: now}
-		n.limits[instance] = known
+		entry = &advertisedLimit{rate: rate, confirmedAt: now}
+		n.limits[instance] = entry
 	}
-	known.heardAt = now
-	if rate <= known.rate || now-known.toldAt >= raiseAfter {
-		known.rate, known.toldAt = rate, now
+	entry.reportedAt = now
+	if rate <= entry.rate || now-entry.confirmedAt >= raiseDelay {
+		entry.rate, entry.confirmedAt = rate, now
 	}
 }
 
-// Of returns the limit of an instance, false for one without.
+// Of returns the limit of an instance, or false if it has none.
 func (n *NamedLimits) Of(instance string) (Limit, bool) {
-	known, met := n.limits[instance]
-	if !met {
+	entry, ok := n.limits[instance]
+	if !ok {
 		return Limit{}, false
 	}
-	return LimitOfInstance(known.rate), true
+	return LimitOfInstance(entry.rate), true
 }
 
-// Expire drops the limits that no gateway has told for long, and names them.
+// Expire removes the limits that no gateway has reported for limitLifetime, and calls drop for
+// each.
 func (n *NamedLimits) Expire(now time.Duration, drop func(instance string)) {
-	if now-n.lookedAt < raiseAfter {
+	if now-n.expiredAt < raiseDelay {
 		return
 	}
-	n.lookedAt = now
-	for instance, known := range n.limits {
-		if now-known.heardAt > namedFor {
+	n.expiredAt = now
+	for instance, entry := range n.limits {
+		if now-entry.reportedAt > limitLifetime {
 			delete(n.limits, instance)
 			drop(instance)
 		}
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -13,16 +13,17 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-// What a deployment allows beyond a limit in a window, as in quota_window, overrun and slack of
-// its bounds.
+// The overload that a deployment tolerates within a window; the values match quota_window, overrun
+// and slack of the deployment's
+// bounds.
 const (
-	window  = 5 * time.Second
-	overrun = 0.1
-	slack   = 20
-	step    = 5 * time.Millisecond
+	limitWindow    = 5 * time.Second
+	allowedOverrun = 0.1
+	slack          = 20
+	step           = 5 * time.Millisecond
 )
 
-// fleet plays gateways and a leader in steps. A message takes one step each way.
+// fleet simulates gateways and a leader in fixed steps. A message takes one step each way.
 type fleet struct {
 	random   *rand.Rand
 	policy   Policy
@@ -30,31 +31,32 @@
 	now      time.Duration
 	gateways []*gatewayNode
 	limits   map[string]Limit
-	// perSecond is what the callers of each tenant ask for, at the gateways homes.
-	perSecond map[string]float64
-	homes     map[string][]int
-	due       map[string]float64
-	leads     bool
-	// answerDelay is what an answer of the leader takes beyond one step.
+	// perSecond is the request rate of each tenant's callers, homes the gateways that they call.
+	perSecond   map[string]float64
+	homes       map[string][]int
+	dueRequests map[string]float64
+	leaderUp    bool
+	// answerDelay returns the delay of a leader's answer beyond one step.
 	answerDelay func() time.Duration
-	// passed are the times at which requests of a tenant passed, and asked and served count.
+	// passed are the times at which requests of a tenant passed; asked and served count its
+	// requests.
 	passed map[string][]time.Duration
 	asked  map[string]int
 	served map[string]int
-	// servedUrgent counts the most urgent of those served.
+	// servedUrgent counts the served requests of the highest urgency.
 	servedUrgent map[string]int
 }
 
 type gatewayNode struct {
 	accounts   *Accounts
 	cut, dead  bool
-	reportedAt time.Duration
+	lastReport time.Duration
 	connected  bool
 	answers    []leaderAnswer
 	waiting    []waitingRequest
 }
 
-// leaderAnswer is an answer on its way to a gateway.
+// leaderAnswer is an answer in transit to a gateway.
 type leaderAnswer struct {
 	due    time.Duration
 	grants []Grant
@@ -68,19 +70,19 @@
 
 func newFleet(seed uint64, gateways int, tenants int) *fleet {
 	f := &fleet{
-		random: rand.New(rand.NewPCG(seed, 7)), policy: TenantPolicy(), ledger: NewLedger(TenantPolicy(), slack), limits: make(map[string]Limit), leads: true,
-		perSecond: make(map[string]float64), homes: make(map[string][]int), due: make(map[string]float64),
+		random: rand.New(rand.NewPCG(seed, 7)), policy: TenantPolicy(), ledger: NewLedger(TenantPolicy(), slack), limits: make(map[string]Limit), leaderUp: true,
+		perSecond: make(map[string]float64), homes: make(map[string][]int), dueRequests: make(map[string]float64),
 		passed: make(map[string][]time.Duration), asked: make(map[string]int), served: make(map[string]int), servedUrgent: make(map[string]int),
 	}
 	for index := range gateways {
-		f.gateways = append(f.gateways, &gatewayNode{accounts: NewAccounts(f.policy, f.random.Float64), reportedAt: time.Duration(index) * time.Millisecond})
+		f.gateways = append(f.gateways, &gatewayNode{accounts: NewAccounts(f.policy, f.random.Float64), lastReport: time.Duration(index) * time.Millisecond})
 	}
 	for index := range tenants {
 		name := fmt.Sprintf("tenant-%d", index)
-		usual := 400 / float64(index+1)
-		f.limits[name] = Limit{Rate: 1.6 * usual, Burst: 1.6 * usual}
-		f.perSecond[name] = usual
-		homes := max(1, int(usual/4))
+		normalRate := 400 / float64(index+1)
+		f.limits[name] = Limit{Rate: 1.6 * normalRate, Burst: 1.6 * normalRate}
+		f.perSecond[name] = normalRate
+		homes := max(1, int(normalRate/4))
 		for range min(homes, gateways) {
 			f.homes[name] = append(f.homes[name], f.random.IntN(gateways))
 		}
@@ -93,19 +95,19 @@
 	return limit, found
 }
 
-func (f *fleet) play(length time.Duration) {
-	for end := f.now + length; f.now < end; f.now += step {
-		f.arrivals()
+func (f *fleet) run(duration time.Duration) {
+	for end := f.now + duration; f.now < end; f.now += step {
+		f.stepArrivals()
 		for index, node := range f.gateways {
 			f.stepGateway(fmt.Sprint(index), node)
 		}
 	}
 }
 
-func (f *fleet) arrivals() {
+func (f *fleet) stepArrivals() {
 	for _, name := range slices.Sorted(maps.Keys(f.perSecond)) {
-		f.due[name] += f.perSecond[name] * step.Seconds()
-		for ; f.due[name] >= 1; f.due[name]-- {
+		f.dueRequests[name] += f.perSecond[name] * step.Seconds()
+		for ; f.dueRequests[name] >= 1; f.dueRequests[name]-- {
 			node := f.gateways[f.homes[name][f.random.IntN(len(f.homes[name]))]]
 			if node.dead {
 				node = f.gateways[f.random.IntN(len(f.gateways))]
@@ -145,12 +147,12 @@
 	if node.dead {
 		return
 	}
-	reached := f.leads && !node.cut
-	onTheWay := node.answers
+	reachable := f.leaderUp && !node.cut
+	inTransit := node.answers
 	node.answers = nil
-	for _, answer := range onTheWay {
+	for _, answer := range inTransit {
 		switch {
-		case !reached:
+		case !reachable:
 		case answer.due > f.now:
 			node.answers = append(node.answers, answer)
 		default:
@@ -163,19 +165,19 @@
 		node.accounts.Waiting(f.now, Subject{Name: request.tenant, Urgency: request.urgency}, -1)
 		f.arrive(node, request, true)
 	}
-	const reports = 200 * time.Millisecond
-	if f.now-node.reportedAt < reports && !node.accounts.Urgent(f.now) {
+	const reportInterval = 200 * time.Millisecond
+	if f.now-node.lastReport < reportInterval && !node.accounts.Urgent(f.now) {
 		return
 	}
-	node.reportedAt = f.now
-	if reached && !node.connected {
+	node.lastReport = f.now
+	if reachable && !node.connected {
 		f.ledger.Connect(name)
 	}
-	if node.connected && !reached {
+	if node.connected && !reachable {
 		node.accounts.Disconnected(f.now)
 	}
-	node.connected = reached
-	if !reached {
+	node.connected = reachable
+	if !reachable {
 		return
 	}
 	asks := node.accounts.Asks(f.now)
@@ -189,16 +191,16 @@
 	}
 }
 
-// most returns by how much the busiest window of any tenant exceeds what is allowed, and
-// whose it was.
-func (f *fleet) most() (excess float64, tenant string) {
+// worstExcess returns by how much the busiest window of any tenant exceeds the allowed number of
+// requests, and the tenant.
+func (f *fleet) worstExcess() (excess float64, tenant string) {
 	excess = -1e9
 	for name, times := range f.passed {
 		limit := f.limits[name]
-		allowed := (limit.Rate*window.Seconds()+limit.Burst)*(1+overrun) + slack
+		allowed := (limit.Rate*limitWindow.Seconds()+limit.Burst)*(1+allowedOverrun) + slack
 		first := 0
 		for last := range times {
-			for times[last]-times[first] >= window {
+			for times[last]-times[first] >= limitWindow {
 				first++
 			}
 			if over := float64(last-first+1) - allowed; over > excess {
@@ -209,83 +211,83 @@
 	return excess, tenant
 }
 
-// served99 names a tenant that stayed within its limit and was served less than 0.99 of what
-// it asked for.
-func (f *fleet) served99() string {
-	const wanted = 0.99
+// underserved names a tenant that stayed within its limit and had less than 99 % of its requests
+// served.
+func (f *fleet) underserved() string {
+	const minServedShare = 0.99
 	for name, asked := range f.asked {
 		within := f.perSecond[name] <= f.limits[name].Rate
-		if within && float64(f.served[name]) < wanted*float64(asked)-1 {
+		if within && float64(f.served[name]) < minServedShare*float64(asked)-1 {
 			return fmt.Sprintf("%s: %d of %d", name, f.served[name], asked)
 		}
 	}
 	return ""
 }
 
-func (f *fleet) forgetCounts() {
+func (f *fleet) resetCounts() {
 	f.asked, f.served, f.servedUrgent = make(map[string]int), make(map[string]int), make(map[string]int)
 }
 
-// trouble plays a day in which one tenant, drawn by chance, sends many times its usual, while
-// gateways are cut off, die and return, and the leader changes. It returns what is wrong.
-func trouble(f *fleet) string {
-	// The controllers are up for a while before the callers come, all at once.
-	usual := f.perSecond
+// runFaults simulates a run in which one random tenant sends many times its usual rate, while
+// gateways are partitioned, crash and restart, and the leader changes. It returns what went wrong.
+func runFaults(f *fleet) string {
+	// The controllers are up for a while before all callers start at once.
+	normalRates := f.perSecond
 	f.perSecond = nil
-	f.play(2 * time.Second)
-	f.perSecond = usual
-	f.play(5 * time.Second)
-	if short := f.served99(); short != "" {
-		return "in the calm " + short
+	f.run(2 * time.Second)
+	f.perSecond = normalRates
+	f.run(5 * time.Second)
+	if short := f.underserved(); short != "" {
+		return "without faults: " + short
 	}
-	hot := fmt.Sprintf("tenant-%d", f.random.IntN(8))
-	f.perSecond[hot] *= 7.5
-	f.forgetCounts()
-	f.play(1500 * time.Millisecond)
-	if short := f.served99(); short != "" {
-		return "beside a hot tenant " + short
+	hotTenant := fmt.Sprintf("tenant-%d", f.random.IntN(8))
+	f.perSecond[hotTenant] *= 7.5
+	f.resetCounts()
+	f.run(1500 * time.Millisecond)
+	if short := f.underserved(); short != "" {
+		return "beside an overloading tenant: " + short
 	}
 	for index, node := range f.gateways {
 		node.cut = index%5 < 2
 		node.dead = index%7 == 1
 	}
-	f.play(5 * time.Second)
-	f.leads = false
-	f.play(1200 * time.Millisecond)
+	f.run(5 * time.Second)
+	f.leaderUp = false
+	f.run(1200 * time.Millisecond)
 	f.ledger.Lead(f.now)
-	f.leads = true
-	f.play(2 * time.Second)
+	f.leaderUp = true
+	f.run(2 * time.Second)
 	for _, node := range f.gateways {
 		if node.dead {
 			node.accounts, node.connected = NewAccounts(f.policy, f.random.Float64), false
 		}
 		node.cut, node.dead = false, false
 	}
-	f.play(2 * time.Second)
-	if excess, tenant := f.most(); excess > 0 {
-		return fmt.Sprintf("%s passed %.0f more than allowed in a window, hot was %s", tenant, excess, hot)
+	f.run(2 * time.Second)
+	if excess, tenant := f.worstExcess(); excess > 0 {
+		return fmt.Sprintf("%s passed %.0f more requests than allowed in a window; the overloading tenant was %s", tenant, excess, hotTenant)
 	}
 	return ""
 }
 
-// TestLimitsHoldOverTheFleet: over 300 gateways and 100 tenants no tenant passes more than the
-// deployment allows in any window, and those within their limits are served.
+// TestLimitsHoldOverTheFleet checks with 300 gateways and 100 tenants that no tenant exceeds what
+// the deployment allows in any window, and that tenants within their limits are served.
 func TestLimitsHoldOverTheFleet(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(20)
 	parameters.MinSuccessfulTests = 8
 	properties := gopter.NewProperties(parameters)
 	properties.Property("limits hold", prop.ForAllNoShrink(func(seed uint64) bool {
-		wrong := trouble(newFleet(seed, 300, 100))
-		if wrong != "" {
-			t.Logf("seed %d: %s", seed, wrong)
+		failure := runFaults(newFleet(seed, 300, 100))
+		if failure != "" {
+			t.Logf("seed %d: %s", seed, failure)
 		}
-		return wrong == ""
+		return failure == ""
 	}, gen.UInt64()))
 	properties.TestingRun(t)
 }
 
-// TestCountsAreBounded: a gateway that tells of more used or left than it can have had gains its
-// tenant nothing.
+// TestCountsAreBounded checks that a gateway that reports more tokens used or returned than it can
+// have held gains nothing for its tenant.
 func TestCountsAreBounded(t *testing.T) {
 	ledger := NewLedger(TenantPolicy(), slack)
 	limit := Limit{Rate: 10, Burst: 10}
@@ -297,15 +299,15 @@
 			granted += grant.Tokens
 		}
 	}
-	if most := uint32(limit.Rate*seconds + limit.Burst + slack); granted > most {
-		t.Errorf("%d tokens were granted in %d s, want %d at most", granted, seconds, most)
+	if bound := uint32(limit.Rate*seconds + limit.Burst + slack); granted > bound {
+		t.Errorf("%d tokens granted in %d s, want at most %d", granted, seconds, bound)
 	}
 }
 
-// TestAdvancesAreCharged: a tenant whose callers come seldom to each of many gateways, and so with
-// tokens taken in advance each time, passes no more than its limit, however long that lasts.
+// TestAdvancesAreCharged checks that a tenant whose callers rarely call each of many gateways, so
+// that every request uses a token that is not granted yet, stays within its limit over a long run.
 func TestAdvancesAreCharged(t *testing.T) {
-	const gateways, length = 100, 90 * time.Second
+	const gateways, duration = 100, 90 * time.Second
 	f := newFleet(1, gateways, 1)
 	f.limits["tenant-0"] = Limit{Rate: 2, Burst: 2}
 	f.perSecond["tenant-0"] = 8
@@ -313,12 +315,12 @@
 	for index := range gateways {
 		f.homes["tenant-0"] = append(f.homes["tenant-0"], index)
 	}
-	f.play(length)
+	f.run(duration)
 	limit := f.limits["tenant-0"]
-	if most := int(limit.Rate*length.Seconds()*(1+overrun) + limit.Burst + slack); f.served["tenant-0"] > most {
-		t.Errorf("%d requests passed in %s, want %d at most", f.served["tenant-0"], length, most)
+	if bound := int(limit.Rate*duration.Seconds()*(1+allowedOverrun) + limit.Burst + slack); f.served["tenant-0"] > bound {
+		t.Errorf("%d requests passed in %s, want at most %d", f.served["tenant-0"], duration, bound)
 	}
-	if excess, _ := f.most(); excess > 0 {
-		t.Errorf("%.0f more than allowed passed in a window", excess)
+	if excess, _ := f.worstExcess(); excess > 0 {
+		t.Errorf("%.0f more requests than allowed passed in a window", excess)
 	}
 }
--- a/internal/quota/silence_test.go
+++ b/internal/quota/silence_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestTenantFarBelowItsLimitPassesWhenTheLeaderFallsSilent: a request that has waited for the leader
-// in vain passes by what its gateway may let through since the silence began; a gateway's part of
-// a small limit is not exceeded by it.
+// TestTenantFarBelowItsLimitPassesWhenTheLeaderFallsSilent checks that a request that waited in
+// vain for the leader may use the tokens that its gateway accrued since the leader fell silent, and
+// that this does not exceed the gateway's part of a small limit.
 func TestTenantFarBelowItsLimitPassesWhenTheLeaderFallsSilent(t *testing.T) {
 	for _, c := range []struct {
 		rate float64
@@ -18,16 +18,16 @@
 		tenant := Subject{Name: "t", Limit: Limit{Rate: c.rate, Burst: c.rate}, Gateways: 2}
 		now := 10 * time.Second
 		a.Answered(now, nil)
-		now += 2 * trusted
+		now += 2 * advanceWindow
 		if verdict, _ := a.Arrive(now, tenant, false); verdict != Wait {
-			t.Fatalf("limit %g: %v for a request without a token", c.rate, verdict)
+			t.Fatalf("limit %g: verdict %v for a request without a token, want Wait", c.rate, verdict)
 		}
 		a.Waiting(now, tenant, 1)
 		a.Asks(now)
 		since := now
 		now += AnswerTime
 		if verdict, _ := a.GiveUp(now, tenant, since); verdict != c.want {
-			t.Errorf("limit %g: %v after the leader was silent for %s, want %v", c.rate, verdict, AnswerTime, c.want)
+			t.Errorf("limit %g: verdict %v after the leader was silent for %s, want %v", c.rate, verdict, AnswerTime, c.want)
 		}
 	}
 }
--- a/internal/quota/types.go
+++ b/internal/quota/types.go
@@ -2,104 +2,104 @@
 
 import "time"
 
-// Limit bounds the requests of one subject.
+// Limit is the rate limit of one subject.
 type Limit struct {
-	// Rate is in requests a second, and Burst is how many more may come at once.
+	// Rate is in requests per second; Burst is the number of requests allowed at once on top of it.
 	Rate  float64
 	Burst float64
 }
 
-// MostUrgent is the urgency of the most urgent requests.
+// MostUrgent is the highest urgency of a request.
 const MostUrgent = 100
 
-// Policy says how the tokens of a kind of subject are given out.
+// Policy determines how the tokens of one kind of subject are granted.
 type Policy struct {
-	// OnDemand tokens are granted for requests that wait and count as used; others are asked
-	// for ahead of need, and taken in advance.
+	// OnDemand grants tokens only for requests that already wait, and counts them as used when
+	// granted. Otherwise gateways prefetch tokens and may use some before they are granted.
 	OnDemand bool
-	// LeastDepth is the least number of tokens that a bucket holds.
-	LeastDepth float64
-	// UrgentShare is the share of a bucket's depth that is kept for the most urgent requests.
+	// MinDepth is the minimum depth of a bucket, in tokens.
+	MinDepth float64
+	// UrgentShare is the share of the bucket depth that is reserved for the most urgent requests.
 	UrgentShare float64
-	// FloorShare is the share of the limit that all gateways together may use without any
-	// leader, in equal parts.
+	// FloorShare is the share of the limit that all gateways together may use without a leader, in
+	// equal parts.
 	FloorShare float64
-	// SaveUp bounds the time over which a gateway without the leader saves up between two
-	// requests, so that many idle ones do not all send at once; zero for no bound.
-	SaveUp time.Duration
+	// MaxAccrual bounds the time over which a gateway without a leader accrues tokens between two
+	// requests, so that many idle gateways do not all send at once; zero for no bound.
+	MaxAccrual time.Duration
 }
 
-// TenantPolicy is that of the quotas of tenants. Its floor lets a gateway that just started
-// serve something.
-func TenantPolicy() Policy { return Policy{LeastDepth: 1, FloorShare: 0.08} }
+// TenantPolicy returns the policy for tenant limits. Its floor lets a gateway that has just started
+// serve some requests.
+func TenantPolicy() Policy { return Policy{MinDepth: 1, FloorShare: 0.08} }
 
-// InstancePolicy is that of the limits that instances name.
+// InstancePolicy returns the policy for limits that instances advertise.
 func InstancePolicy() Policy {
-	return Policy{OnDemand: true, LeastDepth: 2, UrgentShare: 0.5, FloorShare: 0.5, SaveUp: 8 * time.Second}
+	return Policy{OnDemand: true, MinDepth: 2, UrgentShare: 0.5, FloorShare: 0.5, MaxAccrual: 8 * time.Second}
 }
 
-// LimitOfInstance is the limit of an instance that takes a number of requests a second.
+// LimitOfInstance returns the limit of an instance that accepts rate requests per second.
 func LimitOfInstance(rate float64) Limit {
 	const burstTime = 500 * time.Millisecond
 	return Limit{Rate: rate, Burst: rate * burstTime.Seconds()}
 }
 
-// Ask is what a gateway tells the leader of one subject, and wants.
+// Ask is a gateway's usage report and token request to the leader for one subject.
 type Ask struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Subject  string
-	// Want is how many tokens the gateway can use soon.
+	// Want is the number of tokens that the gateway can use soon.
 	Want uint32
-	// Used and Returned are those of its tokens that requests took, and that it gives back,
-	// since its last ask. Tokens on demand count as used when granted: then Used are requests that
-	// went without the leader.
+	// Used and Returned are the tokens that requests took and that the gateway gives back, since
+	// its last ask. On-demand tokens count as used when they are granted, so for those Used counts
+	// the requests sent without the leader.
 	Used     uint32
 	Returned uint32
-	// Rate is the limit that an instance named, in requests a second; zero for a tenant, whose
-	// limit the leader knows.
+	// Rate is the limit that an instance advertised, in requests per second; zero for a tenant,
+	// whose limit the leader knows.
 	Rate float64
-	// Urgency is that of the requests that wait for the tokens wanted, higher for more urgent.
+	// Urgency is that of the requests that wait for the wanted tokens; higher is more urgent.
 	Urgency uint8
-	// UsedAgoMs is how long ago the last of the requests went that Used counts without the leader,
-	// in milliseconds. It travels beside the asks of a report.
+	// UsedAgoMs is the age in milliseconds of the last request that Used counts as sent without the
+	// leader. A report carries it in a field beside its asks.
 	UsedAgoMs uint32 `msgpack:"-"`
 }
 
-// Grant is the answer to an ask.
+// Grant is the leader's answer to an Ask.
 type Grant struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Subject  string
 	Tokens   uint32
-	// ShortMs is when the next token is expected if fewer were granted than wanted, in
-	// milliseconds; zero if all were granted.
+	// ShortMs is the expected time until the next token, in milliseconds, if fewer tokens were
+	// granted than wanted; zero if all were granted.
 	ShortMs uint32
 }
 
 const (
-	// horizon is for how long ahead a gateway asks for tokens: two reports to the leader.
+	// horizon is how far ahead a gateway requests tokens: two reporting intervals.
 	horizon = 400 * time.Millisecond
-	// rateMemory is the time over which the rate of a gateway's requests is measured.
-	rateMemory = time.Second
-	// fallbackShare is the share of its last rate at which a gateway goes on that the leader
-	// does not answer: the tenth that is kept back covers what the two ends measure
-	// differently.
+	// rateTimeConstant is the time constant of the exponential decay of measured rates.
+	rateTimeConstant = time.Second
+	// fallbackShare is the share of its last rate at which a gateway continues while the leader
+	// does not answer. The rest is a margin for differences between the rates that the gateway and
+	// the leader measure.
 	fallbackShare = 0.85
-	// fallbackTime is for how long it does, and for how long the leader keeps that back for a
-	// gateway that is silent: cuts last a few seconds as a rule.
+	// fallbackTime is how long a gateway does so, and how long the leader reserves that rate for a
+	// silent gateway. Partitions usually last a few seconds.
 	fallbackTime = 10 * time.Second
 )
 
-// smoothedRate is a rate of events that forgets the past exponentially.
+// smoothedRate is an event rate with exponential decay.
 type smoothedRate struct {
 	perSecond float64
-	at        time.Duration
+	updatedAt time.Duration
 }
 
 func (r *smoothedRate) add(now time.Duration, count float64) {
-	r.perSecond = r.value(now) + count/rateMemory.Seconds()
-	r.at = now
+	r.perSecond = r.value(now) + count/rateTimeConstant.Seconds()
+	r.updatedAt = now
 }
 
 func (r *smoothedRate) value(now time.Duration) float64 {
-	return r.perSecond * decay(now-r.at)
+	return r.perSecond * decay(now-r.updatedAt)
 }
--- a/internal/quota/waiting.go
+++ b/internal/quota/waiting.go
@@ -1,18 +1,18 @@
 package quota
 
-// waiting counts requests that wait for a token, by their urgency.
-type waiting map[uint8]int
+// waitingCounts counts the requests that wait for a token, by urgency.
+type waitingCounts map[uint8]int
 
-// add changes the number of requests of an urgency.
-func (w waiting) add(urgency uint8, change int) {
+// add changes the count of one urgency.
+func (w waitingCounts) add(urgency uint8, change int) {
 	w[urgency] += change
 	if w[urgency] <= 0 {
 		delete(w, urgency)
 	}
 }
 
-// total returns how many requests wait.
-func (w waiting) total() int {
+// total returns the number of waiting requests.
+func (w waitingCounts) total() int {
 	total := 0
 	for _, count := range w {
 		total += count
@@ -20,18 +20,18 @@
 	return total
 }
 
-// mostUrgent returns how many requests of the highest urgency wait.
-func (w waiting) mostUrgent() (count int, urgency uint8) {
-	for each, waits := range w {
-		if count == 0 || each > urgency {
-			count, urgency = waits, each
+// mostUrgent returns the highest urgency among the waiting requests and how many have it.
+func (w waitingCounts) mostUrgent() (count int, urgency uint8) {
+	for level, number := range w {
+		if count == 0 || level > urgency {
+			count, urgency = number, level
 		}
 	}
 	return count, urgency
 }
 
-// moreUrgent reports whether a request waits that is more urgent.
-func (w waiting) moreUrgent(than uint8) bool {
+// hasMoreUrgent reports whether a waiting request is more urgent than the threshold.
+func (w waitingCounts) hasMoreUrgent(threshold uint8) bool {
 	count, urgency := w.mostUrgent()
-	return count > 0 && urgency > than
+	return count > 0 && urgency > threshold
 }
