--- a/internal/room/doc.go
+++ b/internal/room/doc.go
@@ -1,14 +1,15 @@
-// Package room keeps the places of servers. Gateways do not see each other's requests, so
-// that each of them alone knows next to nothing of a server with two slots: queues grow at
-// some servers while others rest, a holder of hot keys is late for everybody, and a server
-// that is full resets connections of requests that may not be repeated. So each server has
-// one gateway as its keeper, which counts what all gateways have in flight there and gives
-// out places. Requests wait with the keeper, the more urgent first, and one that can't be
-// answered in time is rejected at once with the time at which there is room.
+// Package room admits requests to servers on behalf of all gateways. Gateways do not see each
+// other's requests, so each of them alone knows next to nothing of the load of a server with two
+// slots: queues grow at some servers while others are idle, a holder of hot keys is late for every
+// caller, and a full server resets connections of requests that must not be retried. Therefore each
+// server has one gateway as its keeper, which counts the requests of all gateways in flight there
+// and grants places, each of them the permission to send one request. Requests wait at the keeper,
+// the more urgent first. A request that cannot be answered in time is rejected at once with the
+// expected time until there is capacity.
 //
-// What a keeper knows is soft: a new one learns from the next asks, and the places that its
-// predecessor gave out end by themselves. Two keepers of one server fill it at most twice,
-// which its own queue takes. A gateway that gets no answer goes on by its own counts.
+// A keeper's state is soft: a new keeper learns it from the next asks, and the places that its
+// predecessor granted expire. Two keepers of one server fill it at most twice, which the server's
+// own queue can hold. A gateway that gets no answer falls back to its own counts.
 //
-// It is a pure core: it reads no clock and sends nothing.
+// The types of this package read no clock and send nothing.
 package room
--- a/internal/room/keeper.go
+++ b/internal/room/keeper.go
@@ -8,24 +8,23 @@
 )
 
 const (
-	// beyondSlots is how many requests a server gets beyond its slots, so that it does not
-	// rest while the end of one request is told and the next one is on its way.
-	beyondSlots = 1
-	// noticeTime is added to a request's deadline before its place ends by itself, for the
-	// message that ends it.
-	noticeTime = 300 * time.Millisecond
-	// lostPlaces is how long the places of a gateway that went away are kept: its requests
-	// may still be at work.
-	lostPlaces = 500 * time.Millisecond
-	// longestDeadline bounds how long a place is kept, whatever the asker says.
-	longestDeadline = time.Minute
-	// RepeatInterval is the time after which a request that waits is told so again: its
-	// gateway then knows that the keeper is alive.
+	// extraInFlight is how many requests a server gets beyond its slots, so that it is not idle
+	// between the completion of one request and the arrival of the next.
+	extraInFlight = 1
+	// endMessageGrace is added to a request's deadline before its place expires, to allow for the
+	// message that returns it.
+	endMessageGrace = 300 * time.Millisecond
+	// lostAskerGrace is how long the places of a disconnected gateway are kept: its requests may
+	// still be running.
+	lostAskerGrace = 500 * time.Millisecond
+	// maxDeadline bounds how long a place is kept, whatever deadline the asker gives.
+	maxDeadline = time.Minute
+	// RepeatInterval is how often a gateway is told again that its request waits, so that it knows
+	// that the keeper is alive.
 	RepeatInterval = 100 * time.Millisecond
 )
 
-// Keeper gives out the places of the servers that it is asked for. It is not safe for
-// concurrent use.
+// Keeper grants the places of the servers that gateways ask for. It is not safe for concurrent use.
 type Keeper struct {
 	servers map[directory.InstanceID]*server
 	places  map[PlaceID]*place
@@ -34,18 +33,18 @@
 	answers []Answer
 }
 
-// place is a place that was given out.
+// place is a granted place.
 type place struct {
 	server *server
 	queue  string
 	endsAt time.Duration
-	// rounds is how many service times the request was expected to take, behind others that
-	// were sent there before it.
+	// rounds is the time that the request was expected to take at the server, in service times,
+	// including the wait behind requests sent before it.
 	rounds float64
 }
 
-// New returns a keeper that knows of no server. The seed decides between servers that are
-// alike.
+// New returns a keeper without any server. The seed determines the choice between equally loaded
+// servers.
 func New(seed uint64) *Keeper {
 	return &Keeper{
 		servers: make(map[directory.InstanceID]*server), places: make(map[PlaceID]*place),
@@ -53,19 +52,19 @@
 	}
 }
 
-// Held returns the number of places that are given out.
+// Held returns the number of granted places.
 func (k *Keeper) Held() int { return len(k.places) }
 
 // Waiting returns the number of requests that wait for a place.
 func (k *Keeper) Waiting() int {
 	count := 0
-	for _, asked := range k.queues {
-		count += len(asked.waiting)
+	for _, q := range k.queues {
+		count += len(q.waiting)
 	}
 	return count
 }
 
-// Take returns the answers that became due since the last call, in their order.
+// Take returns the answers that became due since the last call, in order.
 func (k *Keeper) Take() []Answer {
 	taken := k.answers
 	k.answers = nil
@@ -76,143 +75,144 @@
 	k.answers = append(k.answers, Answer{ID: id, Verdict: verdict, Server: server, Wait: wait})
 }
 
-// Ask takes a request for a place.
+// Ask processes a request for a place.
 func (k *Keeper) Ask(now time.Duration, ask Ask) {
 	if _, known := k.places[ask.ID]; known || len(ask.Servers) == 0 {
 		k.answer(ask.ID, Unknown, "", 0)
 		return
 	}
-	asked := k.queue(ask)
-	asked.note(k, ask.Servers)
-	waiting := asked.add(now, ask)
+	q := k.queue(ask)
+	q.setServers(k, ask.Servers)
+	waiting := q.add(now, ask)
 	if waiting == nil {
-		k.answer(ask.ID, Rejected, "", asked.wait(k, now))
+		k.answer(ask.ID, Rejected, "", q.wait(k, now))
 		return
 	}
-	k.serve(now, asked)
-	if _, granted := k.places[ask.ID]; !granted && asked.contains(ask.ID) {
-		k.answer(ask.ID, Queued, "", asked.wait(k, now))
+	k.serve(now, q)
+	if _, granted := k.places[ask.ID]; !granted && q.contains(ask.ID) {
+		k.answer(ask.ID, Queued, "", q.wait(k, now))
 	}
 }
 
-// End takes a place back, or ends a wait.
+// End returns a place, or ends the wait for one.
 func (k *Keeper) End(now time.Duration, end End) {
-	held, found := k.places[end.ID]
+	place, found := k.places[end.ID]
 	if !found {
-		for _, asked := range k.queues {
-			asked.remove(end.ID)
+		for _, q := range k.queues {
+			q.remove(end.ID)
 		}
 		return
 	}
 	delete(k.places, end.ID)
-	held.server.end(now, end, held.rounds)
-	if asked, waits := k.queues[held.queue]; waits {
-		k.serve(now, asked)
+	place.server.end(now, end, place.rounds)
+	if q, found := k.queues[place.queue]; found {
+		k.serve(now, q)
 	}
 }
 
-// Lose takes note that a gateway went away. What it had in flight may run on for a while.
+// Lose records that a gateway disconnected. Its requests in flight may run on for lostAskerGrace.
 func (k *Keeper) Lose(now time.Duration, asker Asker) {
-	for _, asked := range k.queues {
-		asked.removeAll(asker)
+	for _, q := range k.queues {
+		q.removeAll(asker)
 	}
-	for id, held := range k.places {
+	for id, place := range k.places {
 		if id.Asker == asker {
-			held.endsAt = min(held.endsAt, now+lostPlaces)
+			place.endsAt = min(place.endsAt, now+lostAskerGrace)
 		}
 	}
 }
 
-// Tick ends what is due by itself.
+// Tick processes what is due by time alone: expired places, requests that wait too long, repeated
+// notices, and unused queues and servers.
 func (k *Keeper) Tick(now time.Duration) {
-	for id, held := range k.places {
-		if now >= held.endsAt {
+	for id, place := range k.places {
+		if now >= place.endsAt {
 			delete(k.places, id)
-			held.server.inFlight--
+			place.server.inFlight--
 		}
 	}
-	for name, asked := range k.queues {
-		k.serve(now, asked)
-		k.repeat(now, asked)
-		if len(asked.waiting) == 0 && now-asked.usedAt > longestDeadline {
+	for name, q := range k.queues {
+		k.serve(now, q)
+		k.notifyWaiting(now, q)
+		if len(q.waiting) == 0 && now-q.usedAt > maxDeadline {
 			delete(k.queues, name)
 		}
 	}
-	for id, each := range k.servers {
-		if each.inFlight == 0 && now-each.usedAt > longestDeadline {
+	for id, s := range k.servers {
+		if s.inFlight == 0 && now-s.usedAt > maxDeadline {
 			delete(k.servers, id)
 		}
 	}
 }
 
-// serve gives free places to those who wait, and rejects those who would wait too long.
-func (k *Keeper) serve(now time.Duration, asked *queue) {
-	asked.usedAt = now
-	for len(asked.waiting) > 0 {
-		free := k.best(now, asked)
+// serve grants free places to waiting requests and rejects those that would wait too long.
+func (k *Keeper) serve(now time.Duration, q *queue) {
+	q.usedAt = now
+	for len(q.waiting) > 0 {
+		free := k.bestServer(now, q)
 		if free == nil {
 			break
 		}
-		k.grant(now, asked, free)
+		k.grant(now, q, free)
 	}
-	for _, late := range asked.late(k, now) {
-		k.answer(late.id, Rejected, "", asked.wait(k, now))
+	for _, late := range q.removeLate(k, now) {
+		k.answer(late.id, Rejected, "", q.wait(k, now))
 	}
 }
 
-// repeat tells those who wait that they still do.
-func (k *Keeper) repeat(now time.Duration, asked *queue) {
-	for index := range asked.waiting {
-		each := &asked.waiting[index]
-		if now-each.toldAt >= RepeatInterval {
-			each.toldAt = now
-			k.answer(each.id, Queued, "", asked.wait(k, now))
+// notifyWaiting tells askers again that their requests wait, every RepeatInterval.
+func (k *Keeper) notifyWaiting(now time.Duration, q *queue) {
+	for index := range q.waiting {
+		waiting := &q.waiting[index]
+		if now-waiting.notifiedAt >= RepeatInterval {
+			waiting.notifiedAt = now
+			k.answer(waiting.id, Queued, "", q.wait(k, now))
 		}
 	}
 }
 
-func (k *Keeper) grant(now time.Duration, asked *queue, free *server) {
-	next := asked.waiting[0]
-	asked.waiting = asked.waiting[1:]
-	k.places[next.id] = &place{server: free, queue: asked.name, endsAt: next.deadline + noticeTime, rounds: free.rounds()}
+func (k *Keeper) grant(now time.Duration, q *queue, free *server) {
+	next := q.waiting[0]
+	q.waiting = q.waiting[1:]
+	k.places[next.id] = &place{server: free, queue: q.name, endsAt: next.deadline + endMessageGrace, rounds: free.rounds()}
 	free.inFlight++
 	free.usedAt = now
-	k.answer(next.id, Granted, free.id, asked.wait(k, now))
+	k.answer(next.id, Granted, free.id, q.wait(k, now))
 }
 
-// best returns the server that is expected to answer soonest; nil while all are full.
-func (k *Keeper) best(now time.Duration, asked *queue) *server {
+// bestServer returns the server that is expected to answer soonest, or nil if all are full.
+func (k *Keeper) bestServer(now time.Duration, q *queue) *server {
 	var best *server
 	bestTime := time.Duration(0)
-	usable := asked.usable(now)
+	usable := q.usable(now)
 	start := k.random.IntN(max(len(usable), 1))
 	for offset := range usable {
-		each := usable[(start+offset)%len(usable)]
-		if each.inFlight >= each.slots+beyondSlots {
+		s := usable[(start+offset)%len(usable)]
+		if s.inFlight >= s.slots+extraInFlight {
 			continue
 		}
-		if expected := asked.expected(each); best == nil || expected < bestTime {
-			best, bestTime = each, expected
+		if expected := q.expectedTime(s); best == nil || expected < bestTime {
+			best, bestTime = s, expected
 		}
 	}
 	return best
 }
 
 func (k *Keeper) server(instance directory.Instance) *server {
-	known, met := k.servers[instance.ID]
-	if !met {
-		known = &server{id: instance.ID}
-		k.servers[instance.ID] = known
+	s, ok := k.servers[instance.ID]
+	if !ok {
+		s = &server{id: instance.ID}
+		k.servers[instance.ID] = s
 	}
-	known.slots = max(instance.Slots, 1)
-	return known
+	s.slots = max(instance.Slots, 1)
+	return s
 }
 
 func (k *Keeper) queue(ask Ask) *queue {
-	asked, known := k.queues[ask.Queue]
-	if !known {
-		asked = &queue{name: ask.Queue}
-		k.queues[ask.Queue] = asked
+	q, ok := k.queues[ask.Queue]
+	if !ok {
+		q = &queue{name: ask.Queue}
+		k.queues[ask.Queue] = q
 	}
-	return asked
+	return q
 }
--- a/internal/room/keeper_test.go
+++ b/internal/room/keeper_test.go
@@ -19,11 +19,11 @@
 )
 
 func servers(count int) []directory.Instance {
-	made := make([]directory.Instance, 0, count)
+	instances := make([]directory.Instance, 0, count)
 	for number := range count {
-		made = append(made, directory.Instance{ID: directory.InstanceID(fmt.Sprintf("i-%03d", number)), Zone: "z", Slots: slots, State: directory.InstanceReady})
+		instances = append(instances, directory.Instance{ID: directory.InstanceID(fmt.Sprintf("i-%03d", number)), Zone: "z", Slots: slots, State: directory.InstanceReady})
 	}
-	return made
+	return instances
 }
 
 func ask(asker string, number int, among []directory.Instance) Ask {
@@ -32,36 +32,36 @@
 	}
 }
 
-// verdictOf returns the last answer to an ask among those given, zero if there is none.
-func verdictOf(answers []Answer, id PlaceID) Answer {
-	var found Answer
+// lastAnswer returns the last of the answers for an ID, or the zero value if there is none.
+func lastAnswer(answers []Answer, id PlaceID) Answer {
+	var last Answer
 	for _, answer := range answers {
 		if answer.ID == id {
-			found = answer
+			last = answer
 		}
 	}
-	return found
+	return last
 }
 
-// TestPlacesAreNeverOverfilled: whatever 300 gateways ask, end, repeat and lose, no server has
-// more requests than its slots and beyondSlots, no ask gets a second verdict, and a server's
-// count is that of its places.
+// TestPlacesAreNeverOverfilled checks with random asks, ends and disconnects of 300 gateways that
+// no server has more requests in flight than its slots plus extraInFlight, that no granted ask gets
+// a second verdict, and that a server's count equals its places.
 func TestPlacesAreNeverOverfilled(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(7)
 	parameters.MinSuccessfulTests = 60
 	properties := gopter.NewProperties(parameters)
 	properties.Property("places", prop.ForAll(func(seed int64) string {
-		return playAskers(uint64(seed))
+		return runRandomAskers(uint64(seed))
 	}, gen.Int64Range(0, 1<<40)))
 	properties.TestingRun(t)
 }
 
-// playAskers plays random askers, and returns what broke; empty if nothing did.
-func playAskers(seed uint64) string {
+// runRandomAskers simulates random askers and returns the first violation, or an empty string.
+func runRandomAskers(seed uint64) string {
 	const askers, steps = 300, 3000
 	random := rand.New(rand.NewPCG(seed, 1))
 	keeper, among := New(seed), servers(9)
-	given := make(map[PlaceID]Verdict)
+	verdicts := make(map[PlaceID]Verdict)
 	now := time.Duration(0)
 	for range steps {
 		now += time.Duration(random.IntN(int(4 * time.Millisecond)))
@@ -71,77 +71,77 @@
 			keeper.Lose(now, id.Asker)
 		case 1, 2, 3, 4:
 			keeper.End(now, End{ID: id, Outcome: Outcome(random.IntN(6) - 1), Took: time.Duration(random.Int64N(int64(time.Second))) - time.Millisecond})
-			delete(given, id)
+			delete(verdicts, id)
 		case 5:
 			keeper.Tick(now)
 		default:
-			if _, open := given[id]; open {
+			if _, open := verdicts[id]; open {
 				continue
 			}
-			asked := Ask{ID: id, Queue: fmt.Sprint(random.IntN(3)), Urgency: random.Float64(), TargetLeft: time.Duration(random.Int64N(int64(2*target))) - target/4, DeadlineLeft: time.Duration(random.Int64N(int64(4 * target)))}
+			request := Ask{ID: id, Queue: fmt.Sprint(random.IntN(3)), Urgency: random.Float64(), TargetLeft: time.Duration(random.Int64N(int64(2*target))) - target/4, DeadlineLeft: time.Duration(random.Int64N(int64(4 * target)))}
 			first := random.IntN(len(among))
-			asked.Servers = among[first:]
-			keeper.Ask(now, asked)
+			request.Servers = among[first:]
+			keeper.Ask(now, request)
 		}
 		for _, answer := range keeper.Take() {
-			if verdict := given[answer.ID]; verdict == Granted && answer.Verdict != Unknown {
-				return fmt.Sprintf("%+v after it was granted", answer)
+			if verdict := verdicts[answer.ID]; verdict == Granted && answer.Verdict != Unknown {
+				return fmt.Sprintf("answer %+v after the ask was granted", answer)
 			}
-			given[answer.ID] = answer.Verdict
+			verdicts[answer.ID] = answer.Verdict
 		}
-		if broken := overfilled(keeper); broken != "" {
-			return broken
+		if problem := checkInFlight(keeper); problem != "" {
+			return problem
 		}
-		for asker := range given {
-			if _, held := keeper.places[asker]; !held && given[asker] == Granted {
-				delete(given, asker) // ended by itself
+		for asker := range verdicts {
+			if _, held := keeper.places[asker]; !held && verdicts[asker] == Granted {
+				delete(verdicts, asker) // expired
 			}
 		}
 	}
 	return ""
 }
 
-func overfilled(keeper *Keeper) string {
+func checkInFlight(keeper *Keeper) string {
 	counts := make(map[directory.InstanceID]int)
-	for _, held := range keeper.places {
-		counts[held.server.id]++
+	for _, place := range keeper.places {
+		counts[place.server.id]++
 	}
-	for id, each := range keeper.servers {
-		if each.inFlight != counts[id] || each.inFlight > each.slots+beyondSlots {
-			return fmt.Sprintf("%s has %d in flight and %d places", id, each.inFlight, counts[id])
+	for id, s := range keeper.servers {
+		if s.inFlight != counts[id] || s.inFlight > s.slots+extraInFlight {
+			return fmt.Sprintf("server %s has %d requests in flight and %d places", id, s.inFlight, counts[id])
 		}
 	}
 	return ""
 }
 
-// playHolder offers requests for one holder that needs 200 ms each on two slots, half as many
-// again as it serves, and returns the share of those that it served which were in time, and
+// offerToHolder offers requests to one holder with two slots and a service time of 200 ms, at one
+// and a half times its capacity. It returns the share of the served requests that were in time, and
 // the number of those per second.
-func playHolder(t *testing.T, admit func(now time.Duration, id PlaceID) (start time.Duration, granted bool)) (inTime, perSecond float64) {
+func offerToHolder(t *testing.T, admit func(now time.Duration, id PlaceID) (start time.Duration, granted bool)) (inTime, perSecond float64) {
 	t.Helper()
 	const serviceTime, seconds, offered = 200 * time.Millisecond, 20, 15
 	random := rand.New(rand.NewPCG(5, 5))
-	served, timely := 0.0, 0.0
+	served, servedInTime := 0.0, 0.0
 	now := time.Duration(0)
 	for number := 0; now < seconds*time.Second; number++ {
 		now += time.Duration(random.ExpFloat64() / offered * float64(time.Second))
 		if start, granted := admit(now, PlaceID{Asker: "a", Number: Number(number)}); granted {
 			served++
 			if start+serviceTime <= now+target {
-				timely++
+				servedInTime++
 			}
 		}
 	}
-	return timely / max(served, 1), timely / seconds
+	return servedInTime / max(served, 1), servedInTime / seconds
 }
 
-// TestOverloadedHolderServesInTime: a holder of hot keys that is asked for half as much again as
-// it serves answers what it takes in time, and nearly as much as it can. With a queue of eight
-// behind its slots, which no gateway sees, nearly all of its answers were late.
+// TestOverloadedHolderServesInTime checks that a holder of hot keys at one and a half times its
+// capacity answers accepted requests in time, at nearly its full throughput. With a queue of eight
+// behind its slots that no gateway sees, nearly all answers were late.
 func TestOverloadedHolderServesInTime(t *testing.T) {
 	const serviceTime = 200 * time.Millisecond
 	keeper, among := New(1), servers(1)
-	// busy are the ends of what the holder works on, by its slots.
+	// busy holds the time at which each slot of the holder becomes free.
 	busy := make([]time.Duration, slots)
 	begin := func(now time.Duration) time.Duration {
 		first := 0
@@ -180,35 +180,35 @@
 			}
 		}
 	}
-	var asked []PlaceID
+	var askedIDs []PlaceID
 	arrivals := make(map[PlaceID]time.Duration)
-	playHolder(t, func(now time.Duration, id PlaceID) (time.Duration, bool) {
+	offerToHolder(t, func(now time.Duration, id PlaceID) (time.Duration, bool) {
 		advance(now)
 		request := ask("a", int(id.Number), among)
 		keeper.Ask(now, request)
-		asked, arrivals[id] = append(asked, id), now
-		if answer := verdictOf(keeper.Take(), id); answer.Verdict == Granted {
+		askedIDs, arrivals[id] = append(askedIDs, id), now
+		if answer := lastAnswer(keeper.Take(), id); answer.Verdict == Granted {
 			starts[id] = begin(now)
 			work = append(work, running{id, now, starts[id] + serviceTime})
 		}
 		return 0, false
 	})
 	advance(time.Hour)
-	served, timely := 0.0, 0.0
-	for _, id := range asked {
+	served, servedInTime := 0.0, 0.0
+	for _, id := range askedIDs {
 		if start, granted := starts[id]; granted {
 			served++
 			if start+serviceTime <= arrivals[id]+target {
-				timely++
+				servedInTime++
 			}
 		}
 	}
 	const seconds, capacity = 20, 10.0
-	if timely/served < 0.95 || timely/seconds < 0.85*capacity {
-		t.Errorf("%.2f of what is served is in time, %.1f a second of %.0f", timely/served, timely/seconds, capacity)
+	if servedInTime/served < 0.95 || servedInTime/seconds < 0.85*capacity {
+		t.Errorf("%.2f of the served requests are in time, %.1f per second of a capacity of %.0f", servedInTime/served, servedInTime/seconds, capacity)
 	}
 	queued := make([]time.Duration, slots)
-	inTime, perSecond := playHolder(t, func(now time.Duration, _ PlaceID) (time.Duration, bool) {
+	inTime, perSecond := offerToHolder(t, func(now time.Duration, _ PlaceID) (time.Duration, bool) {
 		first := 0
 		if queued[1] < queued[0] {
 			first = 1
@@ -221,15 +221,15 @@
 		return start, true
 	})
 	if inTime > 0.5 {
-		t.Errorf("with an unseen queue %.2f are in time, %.1f a second: the test does not overload the holder", inTime, perSecond)
+		t.Errorf("with an unseen queue %.2f are in time, %.1f per second: the test does not overload the holder", inTime, perSecond)
 	}
 }
 
-// TestUrgentRequestsGoFirst, and one that cannot be in time behind them is rejected at once, with
-// the time at which there is room.
+// TestUrgentRequestsGoFirst checks that urgent requests are granted first, and that a request that
+// cannot be in time behind them is rejected at once with the expected time until there is capacity.
 func TestUrgentRequestsGoFirst(t *testing.T) {
 	keeper, among := New(1), servers(1)
-	for number := range slots + beyondSlots {
+	for number := range slots + extraInFlight {
 		keeper.Ask(0, ask("busy", number, among))
 	}
 	patient, urgent := ask("a", 1, among), ask("a", 2, among)
@@ -240,79 +240,80 @@
 	late.TargetLeft = 150 * time.Millisecond
 	keeper.Ask(0, late)
 	answers := keeper.Take()
-	if answer := verdictOf(answers, late.ID); answer.Verdict != Rejected || answer.Wait <= 0 {
-		t.Errorf("one that cannot be in time gets %+v", answer)
+	if answer := lastAnswer(answers, late.ID); answer.Verdict != Rejected || answer.Wait <= 0 {
+		t.Errorf("a request that cannot be in time gets %+v, want Rejected with a wait", answer)
 	}
-	if verdictOf(answers, patient.ID).Verdict != Queued || verdictOf(answers, urgent.ID).Verdict != Queued {
+	if lastAnswer(answers, patient.ID).Verdict != Queued || lastAnswer(answers, urgent.ID).Verdict != Queued {
 		t.Fatalf("answers %+v, want both queued", answers)
 	}
 	keeper.End(50*time.Millisecond, End{ID: PlaceID{Asker: "busy", Number: 0}, Outcome: Answered, Took: 50 * time.Millisecond})
-	if answers = keeper.Take(); verdictOf(answers, urgent.ID).Verdict != Granted || verdictOf(answers, patient.ID).Verdict == Granted {
-		t.Errorf("after one place is free: %+v", answers)
+	if answers = keeper.Take(); lastAnswer(answers, urgent.ID).Verdict != Granted || lastAnswer(answers, patient.ID).Verdict == Granted {
+		t.Errorf("answers %+v after a place became free, want the urgent request granted", answers)
 	}
 }
 
-// TestLostGatewayGivesItsPlacesBack, after a time in which its requests may still be at work;
-// what it waited for is forgotten.
+// TestLostGatewayGivesItsPlacesBack checks that the places of a disconnected gateway are freed
+// after a grace period, in which its requests may still be running, and that its waiting requests
+// are dropped.
 func TestLostGatewayGivesItsPlacesBack(t *testing.T) {
 	keeper, among := New(1), servers(1)
-	for number := range slots + beyondSlots + 1 {
+	for number := range slots + extraInFlight + 1 {
 		keeper.Ask(0, ask("lost", number, among))
 	}
 	keeper.Ask(0, ask("other", 1, among))
 	keeper.Take()
 	keeper.Lose(10*time.Millisecond, "lost")
 	keeper.Tick(100 * time.Millisecond)
-	if answers := keeper.Take(); verdictOf(answers, PlaceID{Asker: "other", Number: 1}).Verdict == Granted {
-		t.Error("a place of a lost gateway is given out while its request may be at work")
+	if answers := keeper.Take(); lastAnswer(answers, PlaceID{Asker: "other", Number: 1}).Verdict == Granted {
+		t.Error("a place of a disconnected gateway was granted while its request may be running")
 	}
-	keeper.Ask(lostPlaces, ask("other", 2, among))
+	keeper.Ask(lostAskerGrace, ask("other", 2, among))
 	keeper.Take()
-	keeper.Tick(lostPlaces + 20*time.Millisecond)
-	if answers := keeper.Take(); verdictOf(answers, PlaceID{Asker: "other", Number: 2}).Verdict != Granted {
-		t.Errorf("after the time of the lost places: %+v", answers)
+	keeper.Tick(lostAskerGrace + 20*time.Millisecond)
+	if answers := keeper.Take(); lastAnswer(answers, PlaceID{Asker: "other", Number: 2}).Verdict != Granted {
+		t.Errorf("answers %+v after the grace period, want the waiting request granted", answers)
 	}
 }
 
-// TestPlacesEndByThemselves: an asker that never says how a request ended, or claims a deadline
-// in a day, does not keep its place.
+// TestPlacesEndByThemselves checks that a place expires although its asker never reports the end of
+// the request, or gives a deadline of a day.
 func TestPlacesEndByThemselves(t *testing.T) {
 	keeper, among := New(1), servers(1)
 	forever := ask("a", 1, among)
 	forever.DeadlineLeft = 24 * time.Hour
 	keeper.Ask(0, forever)
-	keeper.Tick(longestDeadline + noticeTime)
+	keeper.Tick(maxDeadline + endMessageGrace)
 	if len(keeper.places) > 0 {
-		t.Error("the place is still held")
+		t.Error("the place did not expire")
 	}
-	keeper.Ask(longestDeadline, ask("a", 1, nil))
+	keeper.Ask(maxDeadline, ask("a", 1, nil))
 	if answers := keeper.Take(); answers[len(answers)-1].Verdict != Unknown {
-		t.Errorf("an ask for no server gets %+v", answers)
+		t.Errorf("an ask without servers gets %+v, want Unknown", answers)
 	}
 }
 
-// TestServersAtFaultRest: one that fails three times in a row gets nothing for a while, unless
-// most do.
+// TestServersAtFaultRest checks that a server that fails three times in a row gets no requests for
+// a while, unless most servers do.
 func TestServersAtFaultRest(t *testing.T) {
 	keeper, among := New(1), servers(3)
-	for number := range failuresInRow {
+	for number := range ejectionFailures {
 		request := ask("a", number, among[:1])
 		keeper.Ask(0, request)
 		keeper.End(0, End{ID: request.ID, Outcome: Failed})
 	}
 	keeper.Take()
-	for number := range 2 * (slots + beyondSlots) {
+	for number := range 2 * (slots + extraInFlight) {
 		keeper.Ask(0, ask("b", number, among))
 	}
 	for _, answer := range keeper.Take() {
 		if answer.Server == among[0].ID {
-			t.Errorf("%+v though that server is at fault", answer)
+			t.Errorf("answer %+v names an ejected server", answer)
 		}
 	}
 }
 
-// TestTwoKeepersFillAServerTwice at most: while gateways differ about who keeps a server, each
-// keeper gives out its slots.
+// TestTwoKeepersFillAServerTwice checks that two keepers fill a server at most twice: while
+// gateways disagree about the keeper of a server, each keeper grants its slots.
 func TestTwoKeepersFillAServerTwice(t *testing.T) {
 	among := servers(1)
 	granted := 0
@@ -326,14 +327,14 @@
 			}
 		}
 	}
-	if most := 2 * (slots + beyondSlots); granted != most {
-		t.Errorf("%d places, want %d", granted, most)
+	if want := 2 * (slots + extraInFlight); granted != want {
+		t.Errorf("%d places granted, want %d", granted, want)
 	}
 }
 
-// TestPoolsKeepTheirKeepers: when one keeper goes, the pools and holders of the others stay with
-// theirs; pools stay in their zone where it has a keeper, and are not larger than largestPool
-// by much.
+// TestPoolsKeepTheirKeepers checks that pools and holders stay with their keepers when another
+// keeper is lost, that pools stay in a zone that has a keeper, and that no pool is much larger than
+// maxPoolSize.
 func TestPoolsKeepTheirKeepers(t *testing.T) {
 	var keepers []directory.Keeper
 	for number := range 6 {
@@ -350,8 +351,8 @@
 	for _, pool := range before {
 		keeperOfPool[pool.Name] = pool.Keeper
 		count += len(pool.Servers)
-		if len(pool.Servers) > 2*largestPool {
-			t.Errorf("pool %s has %d servers", pool.Name, len(pool.Servers))
+		if len(pool.Servers) > 2*maxPoolSize {
+			t.Errorf("pool %s is too large: %d servers", pool.Name, len(pool.Servers))
 		}
 	}
 	if count != len(among) {
@@ -360,21 +361,21 @@
 	lost := keepers[0].Address
 	for _, pool := range Pools("s", among, keepers[1:]) {
 		if was := keeperOfPool[pool.Name]; was != lost && was != pool.Keeper {
-			t.Errorf("pool %s passed from %s to %s though %s was lost", pool.Name, was, pool.Keeper, lost)
+			t.Errorf("pool %s moved from keeper %s to %s although only %s was lost", pool.Name, was, pool.Keeper, lost)
 		}
 	}
 	for _, each := range among {
 		if was := KeeperOf(each, keepers); was != lost && was != KeeperOf(each, keepers[1:]) {
-			t.Errorf("holder %s passed on from %s", each.ID, was)
+			t.Errorf("holder %s moved from keeper %s although that keeper was not lost", each.ID, was)
 		}
 	}
 	if pools := Pools("s", among, nil); pools != nil || KeeperOf(among[0], nil) != "" {
-		t.Error("there is a keeper without keepers")
+		t.Error("a keeper was assigned although there are none")
 	}
 }
 
-// BenchmarkAsk is a place taken and given back, in a fleet of 500 servers in pools of 31: some
-// 1.5 µs. Choosing one of 500 servers by a gateway's own counts takes 194 µs.
+// BenchmarkAsk grants and returns a place in a fleet of 500 servers in pools of 31, in some 1.5 µs.
+// Choosing one of 500 servers by a gateway's own counts takes 194 µs.
 func BenchmarkAsk(b *testing.B) {
 	keeper := New(1)
 	all := servers(500)
