--- a/internal/backpressure/backpressure_test.go
+++ b/internal/backpressure/backpressure_test.go
@@ -9,19 +9,19 @@
 
 const instance = directory.InstanceID("view-1")
 
-// TestParseLimit: each value that a server may send has a bounded meaning.
+// TestParseLimit checks that every value that a server may send yields a bounded limit.
 func TestParseLimit(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		values   []string
 		limit    float64
 		readable bool
-		wrong    bool
+		wantErr  bool
 	}{
 		{"decimal", []string{"5.2"}, 5.2, true, false},
 		{"spaces", []string{" 5.2 "}, 5.2, true, false},
 		{"several", []string{"8", "5.2", "9"}, 5.2, true, false},
-		{"zero lets a trickle pass", []string{"0"}, leastLimit, true, false},
+		{"zero lets a trickle pass", []string{"0"}, minLimit, true, false},
 		{"too high to bind", []string{"1e308"}, 0, true, false},
 		{"negative", []string{"-3"}, 0, false, true},
 		{"text", []string{"few"}, 0, false, true},
@@ -33,24 +33,24 @@
 		{"one of two readable", []string{"few", "7"}, 7, true, true},
 	} {
 		limit, readable, err := ParseLimit(c.values)
-		if limit != c.limit || readable != c.readable || (err != nil) != c.wrong {
-			t.Errorf("%s: limit %g, readable %t, error %v; want %g, %t, error %t", c.name, limit, readable, err, c.limit, c.readable, c.wrong)
+		if limit != c.limit || readable != c.readable || (err != nil) != c.wantErr {
+			t.Errorf("%s: limit %g, readable %t, error %v; want %g, %t, error %t", c.name, limit, readable, err, c.limit, c.readable, c.wantErr)
 		}
 	}
 }
 
-// TestParseRest: each value that a server may send has a bounded meaning.
+// TestParseRest checks that every value that a server may send yields a bounded rest.
 func TestParseRest(t *testing.T) {
 	for _, c := range []struct {
-		value string
-		rest  time.Duration
-		wrong bool
+		value   string
+		rest    time.Duration
+		wantErr bool
 	}{
 		{"3", 3 * time.Second, false},
 		{"0.25", 250 * time.Millisecond, false},
 		{"0", 0, false},
-		{"1e308", longestRest, false},
-		{"Inf", longestRest, false},
+		{"1e308", maxRest, false},
+		{"Inf", maxRest, false},
 		{"-1", unreadableRest, true},
 		{"NaN", unreadableRest, true},
 		{"soon", unreadableRest, true},
@@ -58,22 +58,22 @@
 		{"Thu, 03 Dec 2026 07:00:00 GMT", unreadableRest, true},
 	} {
 		rest, err := ParseRest(c.value)
-		if rest != c.rest || (err != nil) != c.wrong {
-			t.Errorf("%q: %s, error %v; want %s, error %t", c.value, rest, err, c.rest, c.wrong)
+		if rest != c.rest || (err != nil) != c.wantErr {
+			t.Errorf("%q: %s, error %v; want %s, error %t", c.value, rest, err, c.rest, c.wantErr)
 		}
 	}
 }
 
-// answer is one answer of an instance in a test.
+// answer is one answer of an instance.
 type answer struct {
 	now, sentAt time.Duration
 	signal      Signal
-	// limit is the limit wanted after it.
+	// limit is the expected limit after this answer.
 	limit float64
 }
 
-// TestLimitOfAnswersInAnyOrder: a limit holds as long as the instance names it. An answer that
-// may have been given before the limit was named does not end or raise it.
+// TestLimitOfAnswersInAnyOrder checks that a limit holds as long as the instance names it, and that
+// an answer that may have been sent before the limit was named neither ends nor raises it.
 func TestLimitOfAnswersInAnyOrder(t *testing.T) {
 	for name, answers := range map[string][]answer{
 		"ends with an answer without it": {{10, 5, Signal{Limit: 5}, 5}, {20, 15, Signal{}, 0}},
@@ -98,17 +98,18 @@
 	}
 }
 
-// TestSignalsEndWithTheIncarnation: what one incarnation told does not hold for the next.
+// TestSignalsEndWithTheIncarnation checks that the signals of one incarnation do not apply to the
+// next.
 func TestSignalsEndWithTheIncarnation(t *testing.T) {
 	tracker := NewTracker()
 	tracker.Note(1, 0, instance, Signal{Limit: 5})
 	tracker.Forget(func(directory.InstanceID) bool { return false })
 	if limit, _ := tracker.Limit(2, instance); limit != 0 {
-		t.Errorf("limit %g of an instance that is gone", limit)
+		t.Errorf("limit %g of an instance that was forgotten, want none", limit)
 	}
 }
 
-// TestChangesAreTold: each change is told once.
+// TestChangesAreTold checks that each change is reported once.
 func TestChangesAreTold(t *testing.T) {
 	tracker := NewTracker()
 	signal := Signal{Limit: 5, Leaving: true, Rest: 3 * time.Second}
@@ -117,62 +118,62 @@
 		t.Errorf("first answer: %+v, want %+v", got, want)
 	}
 	if got := tracker.Note(2*time.Second, time.Second, instance, signal); got != (Change{}) {
-		t.Errorf("the same again: %+v", got)
+		t.Errorf("repeated signal: %+v, want no change", got)
 	}
 	if got := tracker.Note(20*time.Second, 10*time.Second, instance, Signal{}); got != (Change{Limit: true, From: 5}) {
-		t.Errorf("without any: %+v", got)
+		t.Errorf("answer without signals: %+v, want the end of the limit", got)
 	}
 }
 
-// TestRest: nothing is sent within a rest; after it one request finds out whether the instance is
-// back, and the others follow once that is answered or has taken too long.
+// TestRest checks that nothing is sent during a rest, that one request then probes whether the
+// instance is back, and that others follow once it is answered or has timed out.
 func TestRest(t *testing.T) {
 	tracker := NewTracker()
-	wait := func(now time.Duration, want time.Duration) {
+	wantRest := func(now time.Duration, want time.Duration) {
 		t.Helper()
 		if got := tracker.Rest(now, instance); got != want {
 			t.Errorf("at %s: rest %s, want %s", now, got, want)
 		}
 	}
-	const told, rest = 10 * time.Second, 3 * time.Second
-	tracker.Note(told, told-time.Millisecond, instance, Signal{Rest: rest})
-	wait(told, rest)
-	tracker.Note(told+time.Second, told-time.Millisecond, instance, Signal{})
-	wait(told+time.Second, rest-time.Second)
-	tracker.Note(told+time.Second, told+time.Second, instance, Signal{Rest: time.Second})
-	wait(told+time.Second, rest-time.Second)
-	end := told + rest
-	wait(end, 0)
+	const notedAt, rest = 10 * time.Second, 3 * time.Second
+	tracker.Note(notedAt, notedAt-time.Millisecond, instance, Signal{Rest: rest})
+	wantRest(notedAt, rest)
+	tracker.Note(notedAt+time.Second, notedAt-time.Millisecond, instance, Signal{})
+	wantRest(notedAt+time.Second, rest-time.Second)
+	tracker.Note(notedAt+time.Second, notedAt+time.Second, instance, Signal{Rest: time.Second})
+	wantRest(notedAt+time.Second, rest-time.Second)
+	end := notedAt + rest
+	wantRest(end, 0)
 	if got := tracker.Begin(end, instance); got != 0 {
-		t.Errorf("the first request after the rest waits %s", got)
+		t.Errorf("the first request after the rest must wait %s, want none", got)
 	}
-	if got := tracker.Begin(end+time.Millisecond, instance); got != trialTime-time.Millisecond {
-		t.Errorf("the second request waits %s", got)
+	if got := tracker.Begin(end+time.Millisecond, instance); got != probeTimeout-time.Millisecond {
+		t.Errorf("the second request must wait %s, want the rest of probeTimeout", got)
 	}
-	wait(end+trialTime, 0)
+	wantRest(end+probeTimeout, 0)
 	tracker.Note(end+time.Millisecond, end, instance, Signal{})
 	for range 3 {
 		if got := tracker.Begin(end+2*time.Millisecond, instance); got != 0 {
-			t.Errorf("a request after the answer waits %s", got)
+			t.Errorf("a request after the answer must wait %s, want none", got)
 		}
 	}
 }
 
-// TestLeaving: an instance that once said that it leaves does, whatever later answers say.
+// TestLeaving checks that a leaving instance stays leaving, whatever later answers say.
 func TestLeaving(t *testing.T) {
 	tracker := NewTracker()
 	tracker.Note(time.Second, 0, instance, Signal{Leaving: true})
 	tracker.Note(2*time.Second, time.Second, instance, Signal{})
 	if since, leaves := tracker.Leaving(4*time.Second, instance); !leaves || since != 3*time.Second {
-		t.Errorf("leaves %t since %s", leaves, since)
+		t.Errorf("leaving %t for %s, want true for 3s", leaves, since)
 	}
 	if _, leaves := tracker.Leaving(time.Second, "view-2"); leaves {
-		t.Errorf("another instance leaves")
+		t.Errorf("an instance without signals is leaving")
 	}
 }
 
-// TestGatewaysThatReturnTogether: of 300 gateways that an instance told to rest at the same time
-// each sends one request after it, and no more before that is answered.
+// TestGatewaysThatReturnTogether checks that of 300 gateways that an instance told to rest at the
+// same time, each sends one request after the rest and no more until it is answered.
 func TestGatewaysThatReturnTogether(t *testing.T) {
 	const gateways, requests = 300, 10
 	const rest = 3 * time.Second
@@ -187,6 +188,6 @@
 		}
 	}
 	if sent != gateways {
-		t.Errorf("%d requests were sent within %d ms after the rest, want one by each of %d gateways", sent, requests, gateways)
+		t.Errorf("%d requests sent within %d ms after the rest, want one by each of %d gateways", sent, requests, gateways)
 	}
 }
--- a/internal/backpressure/doc.go
+++ b/internal/backpressure/doc.go
@@ -1,6 +1,6 @@
-// Package backpressure keeps what instances tell in their answers of the requests that they
-// take: a limit for all gateways together, a rest for this gateway, or that they leave. What
-// an instance told ends with its incarnation.
+// Package backpressure tracks the load signals that instances send in their answers: a rate limit
+// for all gateways together, a rest period for this gateway, or that the instance is leaving. The
+// signals of an instance are dropped when its incarnation ends.
 //
-// It is a pure core: it reads no clock and is not safe for concurrent use.
+// The types of this package read no clock and are not safe for concurrent use.
 package backpressure
--- a/internal/backpressure/signal.go
+++ b/internal/backpressure/signal.go
@@ -8,37 +8,38 @@
 	"time"
 )
 
-// Signal is what one answer of an instance tells.
+// Signal is the load signal in one answer of an instance.
 type Signal struct {
-	// Limit is what the instance takes from all gateways together, in requests a second; zero
-	// if the answer names none.
+	// Limit is the rate that the instance accepts from all gateways together, in requests per
+	// second; zero if the answer has none.
 	Limit float64
-	// LimitUnreadable is true if the answer names a limit that cannot be read: the one named
-	// before holds on.
+	// LimitUnreadable is true if the answer has a limit that cannot be parsed. The previous limit
+	// then stays in force.
 	LimitUnreadable bool
-	// Leaving is true if the instance says that it leaves.
+	// Leaving is true if the instance announces that it is leaving.
 	Leaving bool
-	// Rest is for how long the instance wants no request of this gateway; zero for no rest.
+	// Rest is how long this gateway must not send requests to the instance; zero for no rest.
 	Rest time.Duration
 }
 
 const (
-	// leastLimit is taken for a limit of zero, in requests a second: enough to learn from an
-	// answer that the limit has ended.
-	leastLimit = 0.25
-	// mostLimit is the limit from which on an instance is not limited, in requests a second.
-	mostLimit = 1e6
-	// longestRest bounds a rest.
-	longestRest = 10 * time.Minute
-	// unreadableRest is taken for a rest that cannot be read.
+	// minLimit replaces lower limits, in requests per second. Even for a limit of zero some
+	// requests are sent, to learn from an answer that the limit has ended.
+	minLimit = 0.25
+	// unlimitedFrom is the limit from which an instance counts as unlimited, in requests per
+	// second.
+	unlimitedFrom = 1e6
+	// maxRest bounds a rest.
+	maxRest = 10 * time.Minute
+	// unreadableRest replaces a rest that cannot be parsed.
 	unreadableRest = time.Second
 )
 
-// ValueError says why a value that an instance sent cannot be used.
+// ValueError reports a value from an instance that cannot be parsed.
 type ValueError struct {
-	// Value is what was sent, cut after some characters.
+	// Value is the received value, truncated to 32 bytes.
 	Value string
-	// Want says what is expected.
+	// Want describes the expected value.
 	Want string
 }
 
@@ -46,13 +47,13 @@
 func (e *ValueError) Error() string { return fmt.Sprintf("%q: want %s", e.Value, e.Want) }
 
 func newValueError(value, want string) *ValueError {
-	const mostShown = 32
-	return &ValueError{Value: value[:min(len(value), mostShown)], Want: want}
+	const maxShown = 32
+	return &ValueError{Value: value[:min(len(value), maxShown)], Want: want}
 }
 
-// ParseLimit reads the values that an answer gives for its limit, in requests a second. Of
-// several the lowest counts. A limit too high to bind is returned as zero. The error tells of
-// the first value that cannot be read; limit and readable rest on the others.
+// ParseLimit parses the limits in an answer, in requests per second, and returns the lowest. A
+// limit too high to matter is returned as zero. The error describes the first value that cannot be
+// parsed; limit and readable result from the other values.
 func ParseLimit(values []string) (limit float64, readable bool, err error) {
 	limit = math.Inf(1)
 	for _, value := range values {
@@ -64,23 +65,23 @@
 			continue
 		}
 		readable = true
-		limit = min(limit, max(number, leastLimit))
+		limit = min(limit, max(number, minLimit))
 	}
-	if !readable || limit >= mostLimit {
+	if !readable || limit >= unlimitedFrom {
 		limit = 0
 	}
 	return limit, readable, err
 }
 
-// ParseRest reads for how many seconds an instance wants to rest. A value that cannot be read
-// is an error and still asks for a short rest.
+// ParseRest parses a rest in seconds. For a value that cannot be parsed it returns an error and a
+// short rest.
 func ParseRest(value string) (time.Duration, error) {
 	seconds, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
 	if err != nil || math.IsNaN(seconds) || seconds < 0 {
 		return unreadableRest, newValueError(value, "a number of seconds, zero or more")
 	}
-	if seconds >= longestRest.Seconds() {
-		return longestRest, nil
+	if seconds >= maxRest.Seconds() {
+		return maxRest, nil
 	}
 	return time.Duration(seconds * float64(time.Second)), nil
 }
--- a/internal/backpressure/tracker.go
+++ b/internal/backpressure/tracker.go
@@ -6,95 +6,95 @@
 	"github.com/thorntiller/thorntiller/internal/directory"
 )
 
-// Tracker keeps what each instance told.
+// Tracker keeps the signals of each instance.
 type Tracker struct {
 	instances map[directory.InstanceID]*instanceState
 }
 
-// instanceState is what one instance told.
+// instanceState holds the signals of one instance.
 type instanceState struct {
-	// limit is in requests a second; zero for none.
+	// limit is in requests per second; zero for none.
 	limit float64
-	// limitSince is when the limit took its present value, and heardAt when an answer
-	// repeated it last.
-	limitSince time.Duration
-	heardAt    time.Duration
-	// leavingSince is when the instance first said that it leaves; leaving is false before.
+	// limitSince is when the limit got its current value, confirmedAt when an answer last named a
+	// limit.
+	limitSince  time.Duration
+	confirmedAt time.Duration
+	// leaving is true once the instance announced that it is leaving, first at leavingSince.
 	leaving      bool
 	leavingSince time.Duration
-	// rested is true from the first rest that the instance asked for until it answers a request
-	// that was sent after the rest.
-	rested bool
-	// restUntil is when the rest ends, and trialUntil until when a request that was sent after it
-	// is waited for before others are sent.
+	// awaitingRecovery is true from the first rest that the instance asked for until it answers a
+	// request that was sent after the rest.
+	awaitingRecovery bool
+	// restUntil is when the rest ends. A request sent after it is the probe; others wait for its
+	// answer until probeUntil.
 	restUntil  time.Duration
-	trialUntil time.Duration
+	probeUntil time.Duration
 }
 
-// trialTime is how long the first request after a rest is waited for.
-const trialTime = 300 * time.Millisecond
+// probeTimeout is how long other requests wait for the answer to the first one after a rest.
+const probeTimeout = 300 * time.Millisecond
 
-// Change is what a signal changed of what was known.
+// Change describes how a signal changed the state of an instance.
 type Change struct {
-	// Limit is true if the limit began, ended or took another value; From and To are in
-	// requests a second, zero for none.
+	// Limit is true if the limit began, ended or changed. From and To are in requests per second,
+	// zero for none.
 	Limit    bool
 	From, To float64
-	// Leaving is true if the instance said for the first time that it leaves.
+	// Leaving is true if this is the first announcement that the instance is leaving.
 	Leaving bool
-	// Rest is true if the instance was not resting before.
+	// Rest is true if a rest began and the instance was not resting before.
 	Rest bool
 }
 
-// NewTracker returns a tracker that knows of no instance.
+// NewTracker returns an empty tracker.
 func NewTracker() *Tracker {
 	return &Tracker{instances: make(map[directory.InstanceID]*instanceState)}
 }
 
-// Note takes the signal of an answer that came now to a request sent at sentAt. Answers may
-// come in another order than the instance gave them.
+// Note records the signal of an answer that arrived now, for a request sent at sentAt. Answers may
+// arrive in a different order than the instance sent them.
 func (t *Tracker) Note(now, sentAt time.Duration, id directory.InstanceID, signal Signal) Change {
-	known, met := t.instances[id]
-	if !met {
+	state, ok := t.instances[id]
+	if !ok {
 		if signal == (Signal{}) {
 			return Change{}
 		}
-		known = &instanceState{}
-		t.instances[id] = known
+		state = &instanceState{}
+		t.instances[id] = state
 	}
-	change := Change{Leaving: signal.Leaving && !known.leaving, Rest: signal.Rest > 0 && now >= known.restUntil}
+	change := Change{Leaving: signal.Leaving && !state.leaving, Rest: signal.Rest > 0 && now >= state.restUntil}
 	if change.Leaving {
-		known.leaving, known.leavingSince = true, now
+		state.leaving, state.leavingSince = true, now
 	}
-	known.noteRest(now, sentAt, signal)
-	known.noteLimit(now, sentAt, signal, &change)
-	if known.limit == 0 && !known.leaving && !known.rested {
+	state.noteRest(now, sentAt, signal)
+	state.noteLimit(now, sentAt, signal, &change)
+	if state.limit == 0 && !state.leaving && !state.awaitingRecovery {
 		delete(t.instances, id)
 	}
 	return change
 }
 
-// noteRest takes the rest of an answer. An answer to a request that was sent before the rest ended
-// does not shorten it.
+// noteRest records the rest of an answer. An answer to a request sent before the rest ended does
+// not shorten it.
 func (s *instanceState) noteRest(now, sentAt time.Duration, signal Signal) {
 	switch {
 	case signal.Rest > 0:
-		s.rested = true
+		s.awaitingRecovery = true
 		s.restUntil = max(s.restUntil, now+signal.Rest)
 	case sentAt >= s.restUntil:
-		s.rested = false
+		s.awaitingRecovery = false
 	default:
 	}
 }
 
-// noteLimit takes the limit of an answer. An answer to a request that was sent before the
-// present limit was known may be older than that, so that it can only lower it.
+// noteLimit records the limit of an answer. An answer to a request sent before the current limit
+// was known may be older than the limit, so it can only lower it.
 func (s *instanceState) noteLimit(now, sentAt time.Duration, signal Signal, change *Change) {
 	if signal.LimitUnreadable {
 		return
 	}
 	if signal.Limit > 0 {
-		s.heardAt = now
+		s.confirmedAt = now
 	}
 	lower := signal.Limit > 0 && (s.limit == 0 || signal.Limit < s.limit)
 	if signal.Limit == s.limit || !lower && sentAt < s.limitSince {
@@ -104,48 +104,49 @@
 	s.limit, s.limitSince = signal.Limit, now
 }
 
-// Limit returns the limit that an instance named, in requests a second, and how long ago an
-// answer repeated it; zero for none.
+// Limit returns the limit of an instance, in requests per second, and the time since an answer last
+// named one; zero for none.
 func (t *Tracker) Limit(now time.Duration, id directory.InstanceID) (limit float64, age time.Duration) {
-	known, met := t.instances[id]
-	if !met || known.limit == 0 {
+	state, ok := t.instances[id]
+	if !ok || state.limit == 0 {
 		return 0, 0
 	}
-	return known.limit, now - known.heardAt
+	return state.limit, now - state.confirmedAt
 }
 
-// Rest returns for how long no request may be sent to an instance; zero if one may.
+// Rest returns how long no request may be sent to an instance; zero if one may be sent.
 func (t *Tracker) Rest(now time.Duration, id directory.InstanceID) time.Duration {
-	known, met := t.instances[id]
-	if !met || !known.rested {
+	state, ok := t.instances[id]
+	if !ok || !state.awaitingRecovery {
 		return 0
 	}
-	return max(0, known.restUntil-now, known.trialUntil-now)
+	return max(0, state.restUntil-now, state.probeUntil-now)
 }
 
-// Begin is called right before a request is sent to an instance. It returns what Rest does. The
-// first request after a rest holds the others back until it is answered or has taken too long.
+// Begin must be called right before a request is sent to an instance, and returns the same as Rest.
+// The first request after a rest is a probe: others wait until it is answered or probeTimeout
+// passed.
 func (t *Tracker) Begin(now time.Duration, id directory.InstanceID) time.Duration {
 	wait := t.Rest(now, id)
-	if known, met := t.instances[id]; met && known.rested && wait == 0 {
-		known.trialUntil = now + trialTime
+	if state, ok := t.instances[id]; ok && state.awaitingRecovery && wait == 0 {
+		state.probeUntil = now + probeTimeout
 	}
 	return wait
 }
 
-// Leaving returns for how long an instance has said that it leaves; false if it has not.
+// Leaving returns how long ago an instance announced that it is leaving, or false if it has not.
 func (t *Tracker) Leaving(now time.Duration, id directory.InstanceID) (time.Duration, bool) {
-	known, met := t.instances[id]
-	if !met || !known.leaving {
+	state, ok := t.instances[id]
+	if !ok || !state.leaving {
 		return 0, false
 	}
-	return now - known.leavingSince, true
+	return now - state.leavingSince, true
 }
 
-// Instances returns the number of instances that told anything.
+// Instances returns the number of instances with a signal in force.
 func (t *Tracker) Instances() int { return len(t.instances) }
 
-// Forget drops the instances that are not known.
+// Forget drops the instances for which known returns false.
 func (t *Tracker) Forget(known func(directory.InstanceID) bool) {
 	for id := range t.instances {
 		if !known(id) {
