--- a/internal/link/backlog_test.go
+++ b/internal/link/backlog_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestBacklog guards against a gateway that takes a full link for a free one, so that requests which
-// wait behind answers are lost when it stops.
+// TestBacklog guards against a gateway that takes a full link for an idle one, and therefore loses
+// requests that wait behind answers when it stops.
 func TestBacklog(t *testing.T) {
 	const interval, megabits, fullInterval = 100 * time.Millisecond, 5, 62_500
 	for _, c := range []struct {
@@ -26,7 +26,7 @@
 			t.Errorf("%s: waits %v, want %v", c.name, got, c.waits)
 		}
 		if backlog.Waits(time.Second+2*interval, 1000+c.delivered) {
-			t.Errorf("%s: waits though nothing came since", c.name)
+			t.Errorf("%s: waits although nothing arrived since", c.name)
 		}
 	}
 }
--- a/internal/link/doc.go
+++ b/internal/link/doc.go
@@ -1,14 +1,14 @@
-// Package link decides which requests a process takes on while its own network link is
-// nearly full. A request passes the link with its body and comes back over it with its
-// answer; once more comes than the link carries, every answer waits in the queue before
-// it, and connections to servers that are well time out there. It is cheaper to reject a
-// request at once, by a few hundred bytes, while the caller can still be served elsewhere.
+// Package link keeps the queue before a process's own network link short. A request crosses the
+// link with its body, and again with its answer. If more arrives than the link carries, every
+// answer waits behind the queued ones, and connections to healthy servers time out. It is cheaper
+// to reject a request at once with a few hundred bytes, while the caller can still be served
+// elsewhere, so Admission decides which requests are accepted.
 //
-// What does leave is ordered by Schedule: answers and bodies wait in the process, the urgent
-// ones and those that are still in time first. First come first served, 54 in 100 of the most
-// urgent requests on links of 2.3 Mbit/s under bursts were served in time, so ordered 56, and
-// no kind of request was served less.
+// Schedule orders what is sent: answers and bodies wait in the process, and the urgent ones and
+// those that can still be in time are sent first. On links of 2.3 Mbit/s under bursts, 54 of 100 of
+// the most urgent requests were served in time first come first served, and 56 in this order; no
+// kind of request was served less.
 //
-// The queue is modelled from the bytes of the requests that were admitted, since the
-// kernel does not tell its length. These are pure cores: they read no clock.
+// The queue is modelled from the bytes of the admitted requests, since the kernel does not report
+// its length. The types of this package read no clock.
 package link
--- a/internal/link/meter_test.go
+++ b/internal/link/meter_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// TestMeterTellsOverheadApart: what connections carry beside bodies is overhead, and a body
-// that was counted before its connection carried it makes none negative.
+// TestMeterTellsOverheadApart checks that bytes of connections that are not bodies count as
+// overhead, and that overhead is not negative if a body is counted before its connection
+// transferred it.
 func TestMeterTellsOverheadApart(t *testing.T) {
 	meter := &Meter{}
 	meter.Add(In, Bodies, 4000)
--- a/internal/link/schedule.go
+++ b/internal/link/schedule.go
@@ -7,79 +7,77 @@
 )
 
 const (
-	// paced is the share of a link that scheduled bytes may fill: the rest is for the heads of
-	// packets, 40 bytes in some 1,500, for acknowledgements, and for what other connections
-	// send.
-	paced = 0.93
-	// ahead is how much of the link's time may be handed to the system before it is due, so
-	// that the link does not rest between two turns.
-	ahead = 6 * time.Millisecond
-	// longestTurn is how long bytes wait at most behind more urgent ones: a peer that gets
-	// nothing for longer takes the connection for dead.
-	longestTurn = 400 * time.Millisecond
+	// pacedShare is the share of a link that scheduled bytes may use. The rest is for packet
+	// headers, 40 bytes in some 1,500, for acknowledgements, and for other connections.
+	pacedShare = 0.93
+	// sendAhead is how far ahead of the link bytes may be handed to the kernel, so that the link is
+	// not idle between two turns.
+	sendAhead = 6 * time.Millisecond
+	// maxTurnWait bounds how long bytes wait behind more urgent ones. A peer that receives nothing
+	// for longer considers the connection dead.
+	maxTurnWait = 400 * time.Millisecond
 )
 
-// Turn is a number of bytes that want to leave.
+// Turn is a number of bytes to be sent together.
 type Turn struct {
 	Bytes int
 	// Urgency is the rank of the request, from 0 for the least urgent to 1.
 	Urgency float64
-	// Target is when the answer should be there to be of full use.
+	// Target is when the answer must arrive to be of full use.
 	Target time.Duration
 	// Bulk is true for a part of a long message.
 	Bulk bool
-	// asked is when the turn was asked for.
-	asked time.Duration
+	// askedAt is when Ask was called.
+	askedAt time.Duration
 }
 
-// before reports whether a turn goes before another one: those that are in time before those
-// that are late already, the more urgent first, then the one with the earlier target.
+// before reports whether a turn goes before another one: turns that have waited for maxTurnWait
+// first, then those that are not late yet, then the more urgent, then those with the earlier
+// target.
 func (t *Turn) before(other *Turn, now time.Duration) bool {
-	if waited, otherWaited := now-t.asked > longestTurn, now-other.asked > longestTurn; waited != otherWaited {
-		return waited
+	if overdue, otherOverdue := now-t.askedAt > maxTurnWait, now-other.askedAt > maxTurnWait; overdue != otherOverdue {
+		return overdue
 	}
 	if late, otherLate := t.Target < now, other.Target < now; late != otherLate {
 		return otherLate
 	}
-	return cmp.Or(cmp.Compare(other.Urgency, t.Urgency), cmp.Compare(t.Target, other.Target), cmp.Compare(t.asked, other.asked)) < 0
+	return cmp.Or(cmp.Compare(other.Urgency, t.Urgency), cmp.Compare(t.Target, other.Target), cmp.Compare(t.askedAt, other.askedAt)) < 0
 }
 
-// Schedule orders what leaves over a link, so that the queue before the link stands in this
-// process and not in the system, where the first to come is the first to go. It is a pure core
-// and not safe for concurrent use.
+// Schedule orders what is sent over a link, so that bytes queue in this process and not in the
+// kernel, which sends first come first served. It is not safe for concurrent use.
 type Schedule struct {
-	// rate is in bytes a second; zero for no bound.
+	// rate is in bytes per second; zero for no bound.
 	rate float64
-	// busyUntil is when the link has carried what was handed to it.
+	// busyUntil is when the link has sent everything that was handed to it.
 	busyUntil time.Duration
 	waiting   turns
-	// bulk are the parts of long messages that wait, and credit what they may send before
-	// others, in bytes: while both wait they get their share of the link.
+	// bulk are the waiting parts of long messages. credit is the number of bytes that they may send
+	// before others, which gives them their share of the link while both wait.
 	bulk   turns
 	credit float64
 }
 
-// NewSchedule returns the schedule of a link of a number of Mbit/s; zero for one without a
-// bound.
+// NewSchedule returns a schedule for a link of the given Mbit/s; zero for a link without a bound.
 func NewSchedule(megabits float64) *Schedule {
-	return &Schedule{rate: paced * megabits * mega / bitsOfByte}
+	return &Schedule{rate: pacedShare * megabits * bitsPerMegabit / bitsPerByte}
 }
 
-// Passed counts bytes that left without a turn.
+// Passed records bytes that were sent without a turn.
 func (s *Schedule) Passed(now time.Duration, bytes int) {
 	if s.rate > 0 {
 		s.busyUntil = max(s.busyUntil, now) + time.Duration(float64(bytes)/s.rate*float64(time.Second))
 	}
 }
 
-// Ask takes a turn. It reports true if the bytes may leave at once; else Next returns the turn
-// once it has come.
+// Ask requests a turn. It returns true if the bytes may be sent at once; otherwise Next returns the
+// turn when it is due.
 func (s *Schedule) Ask(now time.Duration, turn *Turn) bool {
-	if s.rate <= 0 || len(s.waiting.turns)+len(s.bulk.turns) == 0 && s.free(now) {
+	if s.rate <= 0 || len(s.waiting.turns)+len(s.bulk.turns) == 0 && s.linkFree(now) {
 		s.Passed(now, turn.Bytes)
 		return true
 	}
-	turn.asked = now
+	turn.askedAt = now
 	queue := &s.waiting
 	if turn.Bulk {
 		queue = &s.bulk
@@ -89,25 +87,26 @@
 	return false
 }
 
-func (s *Schedule) free(now time.Duration) bool { return s.busyUntil <= now+ahead }
+// linkFree reports whether bytes may be handed to the kernel now.
+func (s *Schedule) linkFree(now time.Duration) bool { return s.busyUntil <= now+sendAhead }
 
-// Next returns the turn that has come, nil if none has, and when to ask again; zero if none
+// Next returns the turn that is due, or nil if none is, and when to call it again; zero if none
 // waits.
 func (s *Schedule) Next(now time.Duration) (*Turn, time.Duration) {
 	if len(s.waiting.turns)+len(s.bulk.turns) == 0 {
 		return nil, 0
 	}
-	if !s.free(now) {
-		return nil, s.busyUntil - ahead
+	if !s.linkFree(now) {
+		return nil, s.busyUntil - sendAhead
 	}
-	next := s.first(now)
+	next := s.popNext(now)
 	s.Passed(now, next.Bytes)
 	return next, now
 }
 
-// first takes out the turn that goes first: of the long messages if their share is due, or
-// nothing else waits.
-func (s *Schedule) first(now time.Duration) *Turn {
+// popNext removes and returns the next turn: one of a long message if its share is due or nothing
+// else waits.
+func (s *Schedule) popNext(now time.Duration) *Turn {
 	switch {
 	case len(s.waiting.turns) == 0:
 		s.credit = 0
@@ -132,8 +131,8 @@
 	turns []*Turn
 }
 
-// pop takes out the first turn. Turns become late or overdue while they wait, so that their order
-// is not lasting.
+// pop removes and returns the first turn. It restores the heap first: turns become late or overdue
+// while they wait, which changes their order.
 func (t *turns) pop(now time.Duration) *Turn {
 	t.now = now
 	heap.Init(t)
