--- a/internal/admission/admission_test.go
+++ b/internal/admission/admission_test.go
@@ -11,7 +11,7 @@
 	"github.com/thorntiller/thorntiller/internal/fault"
 )
 
-// stoppedClock never moves, so that estimates are exact.
+// stoppedClock never advances, so that estimates are exact.
 type stoppedClock struct{}
 
 func (stoppedClock) Now() time.Duration { return 0 }
@@ -19,7 +19,7 @@
 func wantKind(t *testing.T, err error, kind fault.Kind) {
 	t.Helper()
 	if !fault.Is(err, kind) {
-		t.Errorf("got %v, want %s", err, kind)
+		t.Errorf("got error %v, want kind %s", err, kind)
 	}
 }
 
@@ -47,13 +47,13 @@
 	for want := range 2 {
 		queue.ReleaseUnused()
 		if got := <-order; got != want {
-			t.Errorf("request %d went first, want %d", got, want)
+			t.Errorf("request %d started first, want %d", got, want)
 		}
 	}
 	group.Wait()
 	queue.ReleaseUnused()
 	if queue.Running() != 0 || queue.Waiting() != 0 {
-		t.Errorf("%d running and %d waiting are left", queue.Running(), queue.Waiting())
+		t.Errorf("%d running and %d waiting requests remain", queue.Running(), queue.Waiting())
 	}
 }
 
@@ -67,7 +67,7 @@
 		queue.Release(time.Second)
 	}
 	if err := queue.Acquire(ctx, time.Millisecond); err != nil {
-		t.Errorf("an idle server must get the request: %v", err)
+		t.Errorf("a request for an idle server was rejected: %v", err)
 	}
 	wantKind(t, queue.Acquire(ctx, 1900*time.Millisecond), fault.DeadlineBeforeStart)
 }
@@ -94,7 +94,7 @@
 	}
 	queue.SetLimits(Limits{Running: 1, Waiting: 1})
 	if queue.Running() != 0 || queue.Waiting() != 0 {
-		t.Error("a place was lost")
+		t.Error("a running or waiting request remains")
 	}
 }
 
@@ -108,12 +108,12 @@
 	}
 	limiter.Leave("a")
 	if !limiter.Enter("b", 2) || limiter.Total() != 3 {
-		t.Error("a place was not given back")
+		t.Error("Leave did not return a place")
 	}
 	if got := ServerLimits(2, ConnectionShare(100, 40), 7); got.Running != 1 || got.Waiting != 7 {
 		t.Errorf("got %+v", got)
 	}
 	if got := ServerLimits(2, ConnectionShare(100, 0), 7).Running; got != 4 {
-		t.Errorf("got %d running", got)
+		t.Errorf("got %d running, want 4", got)
 	}
 }
--- a/internal/admission/doc.go
+++ b/internal/admission/doc.go
@@ -1,5 +1,5 @@
-// Package admission bounds the work that a router takes on: requests in flight
-// for each service and in all, and for each server the requests sent at the
-// same time with a bounded, deadline-aware queue in front. What cannot finish
-// in time by the server's recent service times is refused at once.
+// Package admission bounds the work that a router accepts: the requests in flight, in total and for
+// each service, and for each server the requests sent at the same time, with a bounded,
+// deadline-aware queue in front. A request that cannot finish in time according to the server's
+// recent service times is rejected at once.
 package admission
--- a/internal/admission/limiter.go
+++ b/internal/admission/limiter.go
@@ -2,25 +2,25 @@
 
 import "sync"
 
-// Limiter bounds the requests in flight in all and for each service.
+// Limiter bounds the requests in flight, in total and for each service.
 type Limiter struct {
-	mutex    sync.Mutex
-	total    int
-	bound    int
-	services map[string]int
+	mutex      sync.Mutex
+	total      int
+	totalBound int
+	services   map[string]int
 }
 
-// NewLimiter returns a limiter with the given bound on all requests in flight.
+// NewLimiter returns a limiter with the given bound on the total requests in flight.
 func NewLimiter(bound int) *Limiter {
-	return &Limiter{bound: bound, services: make(map[string]int)}
+	return &Limiter{totalBound: bound, services: make(map[string]int)}
 }
 
-// Enter counts a request in and reports whether it was within both bounds. A
-// service bound of zero sets none.
+// Enter counts a request if it is within both bounds, and reports whether it is. A service bound of
+// zero sets none.
 func (l *Limiter) Enter(service string, bound int) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.total >= l.bound {
+	if l.total >= l.totalBound {
 		return false
 	}
 	if bound > 0 && l.services[service] >= bound {
@@ -31,7 +31,7 @@
 	return true
 }
 
-// Leave counts a request out.
+// Leave must be called when a request that entered ends.
 func (l *Limiter) Leave(service string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -42,7 +42,7 @@
 	}
 }
 
-// Total returns the requests in flight.
+// Total returns the number of requests in flight.
 func (l *Limiter) Total() int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/admission/queue.go
+++ b/internal/admission/queue.go
@@ -10,33 +10,31 @@
 	"github.com/thorntiller/thorntiller/internal/fault"
 )
 
-// smoothing is the weight of the newest service time in the moving average.
+// smoothing is the weight of the latest service time in the moving average.
 const smoothing = 0.1
 
 // Limits bound one server's queue.
 type Limits struct {
 	// Running bounds the requests sent to the server at the same time.
 	Running int
-	// Waiting bounds the requests that wait for one of these places.
+	// Waiting bounds the requests that wait to be sent.
 	Waiting int
 }
 
-// ServerLimits derives one router's bounds for a server with the given slots
-// and the given share of its connections. The slots are shared with other
-// routers, but the router that gets most of the traffic must be able to fill
-// them, so that each may send slots × slotFactor at the same time.
+// ServerLimits returns one router's bounds for a server with the given slots and the given share of
+// its connections. The slots are shared with other routers, but the router with most of the traffic
+// must be able to fill them, so each may send slots × slotFactor requests at the same time.
 func ServerLimits(slots, connections, waiting int) Limits {
 	const slotFactor = 2
 	running := max(1, min(slots*slotFactor, connections-ControlConnections))
 	return Limits{Running: running, Waiting: waiting}
 }
 
-// ControlConnections is how many connections of a router's share are kept for
-// cancels and health checks, where the share allows.
+// ControlConnections is how many connections of a router's share are kept for cancels and health
+// checks, if the share is large enough.
 const ControlConnections = 2
 
-// ConnectionShare returns how many connections one router may hold to a
-// server, at least one.
+// ConnectionShare returns how many connections one router may hold to a server, at least one.
 func ConnectionShare(connections, routers int) int {
 	return max(1, connections/max(1, routers))
 }
@@ -65,14 +63,14 @@
 	q.wakeLocked()
 }
 
-// Running returns the requests that hold a place.
+// Running returns the number of requests that hold a place.
 func (q *Queue) Running() int {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	return q.running
 }
 
-// Waiting returns the requests that wait for a place.
+// Waiting returns the number of requests that wait for a place.
 func (q *Queue) Waiting() int {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -86,17 +84,17 @@
 	return q.limits.Running
 }
 
-// waiter is one request in the queue. Its channel is closed when it gets a
-// place or, with a reason, when it is sent away.
+// waiter is one request in the queue. Its channel is closed when it gets a place or, with a reason,
+// when it is evicted.
 type waiter struct {
 	decided chan struct{}
 	reason  error
-	// notify, unless nil, is called with the reason once it is decided.
+	// notify, if not nil, is called with the reason when the wait ends.
 	notify func(error)
 }
 
-// settle tells the request that it got a place, or why it was sent away.
-func (w *waiter) settle(reason error) {
+// decide ends the wait: with a place if the reason is nil, otherwise without.
+func (w *waiter) decide(reason error) {
 	w.reason = reason
 	close(w.decided)
 	if w.notify != nil {
@@ -104,10 +102,9 @@
 	}
 }
 
-// Acquire waits for a place until the deadline, a reading of the queue's
-// clock. Nil means that the caller holds a place and must call Release. The
-// error's kind is QueueFull or DeadlineBeforeStart, or it is the context's
-// error, or the reason given to Evict.
+// Acquire waits for a place until the deadline, a reading of the queue's clock. If it returns nil,
+// the caller holds a place and must call Release or ReleaseUnused. Otherwise the error has the kind
+// QueueFull or DeadlineBeforeStart, or is the context's error, or the reason given to Evict.
 func (q *Queue) Acquire(ctx context.Context, deadline time.Duration) error {
 	element, err := q.enter(deadline, nil)
 	if err != nil || element == nil {
@@ -129,10 +126,9 @@
 // Ticket is a request's position in the queue.
 type Ticket struct{ element *list.Element }
 
-// Join is Acquire for callers that cannot wait. A nil ticket without an error
-// means that the caller holds a place. With a ticket the request waits:
-// decided is called, under the queue's lock, with nil once it holds a place, or
-// with the reason given to Evict.
+// Join is Acquire for callers that cannot block. A nil ticket without an error means that the
+// caller holds a place. With a ticket the request waits: decided is called, under the queue's lock,
+// with nil once it holds a place, or with the reason given to Evict.
 func (q *Queue) Join(deadline time.Duration, decided func(error)) (*Ticket, error) {
 	element, err := q.enter(deadline, decided)
 	if err != nil || element == nil {
@@ -141,8 +137,8 @@
 	return &Ticket{element: element}, nil
 }
 
-// Expire ends a wait whose deadline passed. It returns nil when the wait was
-// decided before, else an error of kind DeadlineBeforeStart.
+// Expire ends a wait whose deadline passed. It returns nil if the wait had already ended, otherwise
+// an error of kind DeadlineBeforeStart.
 func (q *Queue) Expire(ticket *Ticket) error {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -159,7 +155,7 @@
 	return fault.New(fault.DeadlineBeforeStart, "the deadline passed in the router's queue")
 }
 
-// enter takes a place at once (nil element), joins the queue, or refuses.
+// enter takes a place at once (nil element), joins the queue, or rejects the request.
 func (q *Queue) enter(deadline time.Duration, notify func(error)) (*list.Element, error) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -180,15 +176,15 @@
 	return q.waiters.PushBack(&waiter{decided: make(chan struct{}), notify: notify}), nil
 }
 
-// estimateLocked returns how long a request that joins now takes to finish.
+// estimateLocked returns the expected time until a request that joins now finishes.
 func (q *Queue) estimateLocked() time.Duration {
 	ahead := q.waiters.Len() + 1
-	turns := float64(ahead)/float64(max(1, q.limits.Running)) + 1
-	return time.Duration(turns * float64(q.average))
+	rounds := float64(ahead)/float64(max(1, q.limits.Running)) + 1
+	return time.Duration(rounds * float64(q.average))
 }
 
-// abandon leaves the queue with the given reason, or keeps the place if it was
-// given in the meantime.
+// abandon leaves the queue with the given reason. If the wait has already ended it returns the
+// result of the wait instead.
 func (q *Queue) abandon(element *list.Element, reason error) error {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -202,7 +198,7 @@
 	return reason
 }
 
-// Release gives back a place after the attempt took the given time.
+// Release returns a place after an attempt that took the given time.
 func (q *Queue) Release(took time.Duration) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -211,7 +207,7 @@
 	q.wakeLocked()
 }
 
-// ReleaseUnused gives back a place of which no attempt was made.
+// ReleaseUnused returns a place without an attempt having been made.
 func (q *Queue) ReleaseUnused() {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -232,18 +228,18 @@
 		front := q.waiters.Front()
 		q.waiters.Remove(front)
 		q.running++
-		front.Value.(*waiter).settle(nil)
+		front.Value.(*waiter).decide(nil)
 	}
 }
 
-// Evict sends every waiting request away with the reason, for instance because
-// the server's session ended.
+// Evict ends the wait of every waiting request with the reason, for instance because the server's
+// session ended.
 func (q *Queue) Evict(reason error) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	for q.waiters.Len() > 0 {
 		front := q.waiters.Front()
 		q.waiters.Remove(front)
-		front.Value.(*waiter).settle(reason)
+		front.Value.(*waiter).decide(reason)
 	}
 }
