--- a/internal/controller/quotas.go
+++ b/internal/controller/quotas.go
@@ -44,8 +44,8 @@
 		k.term = leadership
 		// Not from now on: buckets would be empty for those who ask first.
 		since := k.leadingSince()
-		k.tenants.Lead(since)
-		k.instances.Lead(since)
+		k.tenants.StartTerm(since)
+		k.instances.StartTerm(since)
 	}
 }
 
--- a/internal/quota/instance_test.go
+++ b/internal/quota/instance_test.go
@@ -99,7 +99,7 @@
 	f.run(30 * time.Second)
 	f.perSecond = rates
 	f.run(2 * time.Second)
-	f.ledger.Lead(f.now)
+	f.ledger.StartTerm(f.now)
 	f.leaderUp = true
 	for _, node := range f.gateways {
 		node.cut, node.dead = false, false
@@ -274,7 +274,7 @@
 			t.Errorf("%s: %d requests reported, want %d", c.name, ask.Used, c.reported)
 		}
 		ledger := NewLedger(InstancePolicy(), 0)
-		ledger.Lead(term)
+		ledger.StartTerm(term)
 		now := term + c.connected
 		for ledger.Hear(now, "g", []Ask{ask}, limitOf)[0].Tokens == 0 && now < 2*term {
 			ask.Used = 0
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -72,12 +72,12 @@
 // NewLedger returns a ledger without gateways or buckets.
 func NewLedger(policy Policy, slack float64) *Ledger {
 	ledger := &Ledger{policy: policy, slack: slack}
-	ledger.Lead(0)
+	ledger.StartTerm(0)
 	return ledger
 }
 
-// Lead begins a leadership term. The gateways' tokens are unknown and all buckets are empty.
-func (l *Ledger) Lead(now time.Duration) {
+// StartTerm begins a leadership term. The gateways' tokens are unknown and all buckets are empty.
+func (l *Ledger) StartTerm(now time.Duration) {
 	l.leadSince = now
 	l.buckets = make(map[string]*bucket)
 	l.gateways = make(map[string]*gateway)
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -254,7 +254,7 @@
 	f.run(5 * time.Second)
 	f.leaderUp = false
 	f.run(1200 * time.Millisecond)
-	f.ledger.Lead(f.now)
+	f.ledger.StartTerm(f.now)
 	f.leaderUp = true
 	f.run(2 * time.Second)
 	for _, node := range f.gateways {
