--- a/internal/controller/quotas.go
+++ b/internal/controller/quotas.go
@@ -67,7 +67,7 @@
 	answer := message.QuotaAnswer{Instances: k.hearOfInstances(now, gateway, report.InstanceAsks())}
 	k.view(func(view *state.State) {
 		limitOf := func(name string) (quota.Limit, bool) { return limitOfTenant(view.Directory(), name) }
-		answer.Grants = k.tenants.Hear(now, gateway, report.Quotas, limitOf)
+		answer.Grants = k.tenants.HandleAsks(now, gateway, report.Quotas, limitOf)
 	})
 	if len(report.Quotas) == 0 {
 		answer.Grants = nil
@@ -81,7 +81,7 @@
 		k.named.Note(now, ask.Subject, ask.Rate)
 	}
 	k.named.Expire(now, k.instances.Forget)
-	return k.instances.Hear(now, gateway, asks, k.named.Of)
+	return k.instances.HandleAsks(now, gateway, asks, k.named.Of)
 }
 
 // use returns how many tokens a second gateways take for a tenant.
--- a/internal/quota/instance_test.go
+++ b/internal/quota/instance_test.go
@@ -239,7 +239,7 @@
 	const seconds = 20
 	for now := time.Duration(0); now < seconds*time.Second; now += 50 * time.Millisecond {
 		ask := Ask{Subject: "view-1", Want: 1 << 31, Returned: 1 << 31, Urgency: MostUrgent}
-		for _, grant := range ledger.Hear(now, "g", []Ask{ask}, limitOf) {
+		for _, grant := range ledger.HandleAsks(now, "g", []Ask{ask}, limitOf) {
 			kept += int(grant.Tokens) - last
 			last = int(grant.Tokens)
 		}
@@ -276,7 +276,7 @@
 		ledger := NewLedger(InstancePolicy(), 0)
 		ledger.StartTerm(term)
 		now := term + c.connected
-		for ledger.Hear(now, "g", []Ask{ask}, limitOf)[0].Tokens == 0 && now < 2*term {
+		for ledger.HandleAsks(now, "g", []Ask{ask}, limitOf)[0].Tokens == 0 && now < 2*term {
 			ask.Used = 0
 			now += step
 		}
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -98,9 +98,9 @@
 	}
 }
 
-// Hear processes the asks of a gateway and returns its grants. Without asks it only records that
+// HandleAsks processes the asks of a gateway and returns its grants. Without asks it only records that
 // the gateway is alive. LimitOf returns the limit of a subject, or false if it has none.
-func (l *Ledger) Hear(now time.Duration, gatewayName string, asks []Ask, limitOf func(subject string) (Limit, bool)) []Grant {
+func (l *Ledger) HandleAsks(now time.Duration, gatewayName string, asks []Ask, limitOf func(subject string) (Limit, bool)) []Grant {
 	gw, ok := l.gateways[gatewayName]
 	if !ok {
 		gw = &gateway{allocations: make(map[string]*allocation)}
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -181,7 +181,7 @@
 		return
 	}
 	asks := node.accounts.Asks(f.now)
-	grants := f.ledger.Hear(f.now, name, asks, f.limitOf)
+	grants := f.ledger.HandleAsks(f.now, name, asks, f.limitOf)
 	if !f.policy.OnDemand || len(asks) > 0 {
 		answer := leaderAnswer{due: f.now + step, grants: grants}
 		if f.answerDelay != nil {
@@ -295,7 +295,7 @@
 	granted := uint32(0)
 	const seconds = 20
 	for now := time.Duration(0); now < seconds*time.Second; now += 100 * time.Millisecond {
-		for _, grant := range ledger.Hear(now, "g", []Ask{{Subject: "t", Want: 1 << 31, Used: 1 << 31, Returned: 1 << 31}}, limitOf) {
+		for _, grant := range ledger.HandleAsks(now, "g", []Ask{{Subject: "t", Want: 1 << 31, Used: 1 << 31, Returned: 1 << 31}}, limitOf) {
 			granted += grant.Tokens
 		}
 	}
