--- a/internal/controller/quotas.go
+++ b/internal/controller/quotas.go
@@ -88,7 +88,7 @@
 func (k *quotaKeeper) use(tenant string) float64 {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	return k.tenants.Use(k.clock.Now(), tenant)
+	return k.tenants.TokenRate(k.clock.Now(), tenant)
 }
 
 func limitOfTenant(view *directory.Directory, name string) (quota.Limit, bool) {
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -310,9 +310,9 @@
 	}
 }
 
-// Use returns the rate at which gateways take tokens of a subject, in tokens per second, for
+// TokenRate returns the rate at which gateways take tokens of a subject, in tokens per second, for
 // operators.
-func (l *Ledger) Use(now time.Duration, subject string) float64 {
+func (l *Ledger) TokenRate(now time.Duration, subject string) float64 {
 	b, ok := l.buckets[subject]
 	if !ok {
 		return 0
