--- a/internal/controller/quotas.go
+++ b/internal/controller/quotas.go
@@ -25,14 +25,14 @@
 	tenants   *quota.Ledger
 	instances *quota.Ledger
 	// named are the limits of the instances.
-	named *quota.NamedLimits
+	named *quota.AdvertisedLimits
 	term  context.Context
 }
 
 // newQuotaKeeper returns a keeper for a replica. LeadingSince tells when it began to lead.
 func newQuotaKeeper(settings config.Quota, system clock.Clock, view func(func(*state.State)), leadingSince func() time.Duration) *quotaKeeper {
 	return &quotaKeeper{
-		clock: system, view: view, leadingSince: leadingSince, named: quota.NewNamedLimits(),
+		clock: system, view: view, leadingSince: leadingSince, named: quota.NewAdvertisedLimits(),
 		tenants:   quota.NewLedger(quota.TenantPolicy(), settings.Slack),
 		instances: quota.NewLedger(quota.InstancePolicy(), 0),
 	}
--- a/internal/quota/instance_test.go
+++ b/internal/quota/instance_test.go
@@ -201,7 +201,7 @@
 // TestLimitThatFalls checks that the lowest recent limit applies while gateways report different
 // limits.
 func TestLimitThatFalls(t *testing.T) {
-	named := NewNamedLimits()
+	named := NewAdvertisedLimits()
 	rateOf := func() float64 {
 		limit, _ := named.Of("view-1")
 		return limit.Rate
--- a/internal/quota/named.go
+++ b/internal/quota/named.go
@@ -15,8 +15,9 @@
 	maxInstances = 100_000
 )
 
-// NamedLimits are the limits that instances advertise, as gateways report them with their asks.
-type NamedLimits struct {
+// AdvertisedLimits are the limits that instances advertise, as gateways report them with their
+// asks.
+type AdvertisedLimits struct {
 	limits map[string]*advertisedLimit
 	// expiredAt is when expired limits were last removed.
 	expiredAt time.Duration
@@ -30,12 +31,14 @@
 	reportedAt time.Duration
 }
 
-// NewNamedLimits returns an empty set of limits.
-func NewNamedLimits() *NamedLimits { return &NamedLimits{limits: make(map[string]*advertisedLimit)} }
+// NewAdvertisedLimits returns an empty set of limits.
+func NewAdvertisedLimits() *AdvertisedLimits {
+	return &AdvertisedLimits{limits: make(map[string]*advertisedLimit)}
+}
 
 // Note records a limit that a gateway reports, in requests per second. The lowest of the recently
 // reported limits applies.
-func (n *NamedLimits) Note(now time.Duration, instance string, rate float64) {
+func (n *AdvertisedLimits) Note(now time.Duration, instance string, rate float64) {
 	if !(rate > 0) || math.IsInf(rate, 0) {
 		return
 	}
@@ -54,7 +57,7 @@
 }
 
 // Of returns the limit of an instance, or false if it has none.
-func (n *NamedLimits) Of(instance string) (Limit, bool) {
+func (n *AdvertisedLimits) Of(instance string) (Limit, bool) {
 	entry, ok := n.limits[instance]
 	if !ok {
 		return Limit{}, false
@@ -64,7 +67,7 @@
 
 // Expire removes the limits that no gateway has reported for limitLifetime, and calls drop for
 // each.
-func (n *NamedLimits) Expire(now time.Duration, drop func(instance string)) {
+func (n *AdvertisedLimits) Expire(now time.Duration, drop func(instance string)) {
 	if now-n.expiredAt < raiseDelay {
 		return
 	}
