--- a/internal/gateway/tokens.go
+++ b/internal/gateway/tokens.go
@@ -78,7 +78,7 @@
 func (t *tokens) wait(subject quota.Subject, change int) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.accounts.Waiting(t.clock.Now(), subject, change)
+	t.accounts.AddWaiting(t.clock.Now(), subject, change)
 }
 
 func (t *tokens) askAtOnce() {
--- a/internal/quota/accounts.go
+++ b/internal/quota/accounts.go
@@ -204,8 +204,8 @@
 	acct.tokens++
 }
 
-// Waiting changes the number of requests that wait for a token.
-func (a *Accounts) Waiting(now time.Duration, subject Subject, change int) {
+// AddWaiting changes the number of requests that wait for a token.
+func (a *Accounts) AddWaiting(now time.Duration, subject Subject, change int) {
 	a.account(now, subject.Name).waiting.add(subject.Urgency, change)
 }
 
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -137,7 +137,7 @@
 		f.served[request.tenant]++
 		f.servedUrgent[request.tenant] += int(request.urgency) / MostUrgent
 	case Wait:
-		node.accounts.Waiting(f.now, tenant, 1)
+		node.accounts.AddWaiting(f.now, tenant, 1)
 		node.waiting = append(node.waiting, request)
 	default:
 	}
@@ -162,7 +162,7 @@
 	waiting := node.waiting
 	node.waiting = nil
 	for _, request := range waiting {
-		node.accounts.Waiting(f.now, Subject{Name: request.tenant, Urgency: request.urgency}, -1)
+		node.accounts.AddWaiting(f.now, Subject{Name: request.tenant, Urgency: request.urgency}, -1)
 		f.arrive(node, request, true)
 	}
 	const reportInterval = 200 * time.Millisecond
--- a/internal/quota/silence_test.go
+++ b/internal/quota/silence_test.go
@@ -22,7 +22,7 @@
 		if verdict, _ := a.Arrive(now, tenant, false); verdict != Wait {
 			t.Fatalf("limit %g: verdict %v for a request without a token, want Wait", c.rate, verdict)
 		}
-		a.Waiting(now, tenant, 1)
+		a.AddWaiting(now, tenant, 1)
 		a.Asks(now)
 		since := now
 		now += AnswerTime
