--- a/internal/gateway/tokens.go
+++ b/internal/gateway/tokens.go
@@ -113,7 +113,7 @@
 // askIfDue asks the leader at once if requests wait for tokens that were not asked for of late.
 func (t *tokens) askIfDue() {
 	t.mutex.Lock()
-	due := t.accounts.Urgent(t.clock.Now())
+	due := t.accounts.AskDue(t.clock.Now())
 	t.mutex.Unlock()
 	if due {
 		t.askAtOnce()
--- a/internal/quota/accounts.go
+++ b/internal/quota/accounts.go
@@ -292,9 +292,9 @@
 	return Rejected, acct.retryAfter(now)
 }
 
-// Urgent reports whether the leader should be asked at once because requests wait and askInterval
+// AskDue reports whether the leader should be asked at once because requests wait and askInterval
 // has passed since the last ask.
-func (a *Accounts) Urgent(now time.Duration) bool {
+func (a *Accounts) AskDue(now time.Duration) bool {
 	for _, acct := range a.accounts {
 		if acct.waiting.total() > 0 && acct.mayAsk(now) {
 			return true
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -166,7 +166,7 @@
 		f.arrive(node, request, true)
 	}
 	const reportInterval = 200 * time.Millisecond
-	if f.now-node.lastReport < reportInterval && !node.accounts.Urgent(f.now) {
+	if f.now-node.lastReport < reportInterval && !node.accounts.AskDue(f.now) {
 		return
 	}
 	node.lastReport = f.now
