--- a/internal/controller/quotas.go
+++ b/internal/controller/quotas.go
@@ -25,14 +25,14 @@
 	tenants   *quota.Ledger
 	instances *quota.Ledger
 	// named are the limits of the instances.
-	named *quota.NamedLimits
+	named *quota.AdvertisedLimits
 	term  context.Context
 }
 
 // newQuotaKeeper returns a keeper for a replica. LeadingSince tells when it began to lead.
 func newQuotaKeeper(settings config.Quota, system clock.Clock, view func(func(*state.State)), leadingSince func() time.Duration) *quotaKeeper {
 	return &quotaKeeper{
-		clock: system, view: view, leadingSince: leadingSince, named: quota.NewNamedLimits(),
+		clock: system, view: view, leadingSince: leadingSince, named: quota.NewAdvertisedLimits(),
 		tenants:   quota.NewLedger(quota.TenantPolicy(), settings.Slack),
 		instances: quota.NewLedger(quota.InstancePolicy(), 0),
 	}
@@ -44,8 +44,8 @@
 		k.term = leadership
 		// Not from now on: buckets would be empty for those who ask first.
 		since := k.leadingSince()
-		k.tenants.Lead(since)
-		k.instances.Lead(since)
+		k.tenants.StartTerm(since)
+		k.instances.StartTerm(since)
 	}
 }
 
@@ -67,7 +67,7 @@
 	answer := message.QuotaAnswer{Instances: k.hearOfInstances(now, gateway, report.InstanceAsks())}
 	k.view(func(view *state.State) {
 		limitOf := func(name string) (quota.Limit, bool) { return limitOfTenant(view.Directory(), name) }
-		answer.Grants = k.tenants.Hear(now, gateway, report.Quotas, limitOf)
+		answer.Grants = k.tenants.HandleAsks(now, gateway, report.Quotas, limitOf)
 	})
 	if len(report.Quotas) == 0 {
 		answer.Grants = nil
@@ -81,14 +81,14 @@
 		k.named.Note(now, ask.Subject, ask.Rate)
 	}
 	k.named.Expire(now, k.instances.Forget)
-	return k.instances.Hear(now, gateway, asks, k.named.Of)
+	return k.instances.HandleAsks(now, gateway, asks, k.named.Of)
 }
 
 // use returns how many tokens a second gateways take for a tenant.
 func (k *quotaKeeper) use(tenant string) float64 {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	return k.tenants.Use(k.clock.Now(), tenant)
+	return k.tenants.TokenRate(k.clock.Now(), tenant)
 }
 
 func limitOfTenant(view *directory.Directory, name string) (quota.Limit, bool) {
