--- a/internal/crashwatch/watch.go
+++ b/internal/crashwatch/watch.go
@@ -33,7 +33,7 @@
 	clock   clock.Clock
 	log     *logrus.Entry
 	mutex   sync.Mutex
-	witness *quarantine.Witness
+	witness *quarantine.CrashDetector
 	// found takes the requests that were in flight at a crash.
 	found func([]quarantine.Loss)
 	// probed are the instances that are probed now, or wait for it.
@@ -51,7 +51,7 @@
 // NewWatch returns a watch that tells a function of the requests that it found.
 func NewWatch(system clock.Clock, log *logrus.Entry, found func([]quarantine.Loss)) *Watch {
 	return &Watch{
-		clock: system, log: log, found: found, witness: quarantine.NewWitness(),
+		clock: system, log: log, found: found, witness: quarantine.NewCrashDetector(),
 		probed: make(map[directory.InstanceID]bool), wanted: make(chan probeTarget, mostProbes),
 	}
 }
--- a/internal/quarantine/witness.go
+++ b/internal/quarantine/witness.go
@@ -30,9 +30,9 @@
 	mostLosses = 1024
 )
 
-// Witness tells crashes of instances from lost connections. Identifiers name incarnations, so that
+// CrashDetector tells crashes of instances from lost connections. Identifiers name incarnations, so that
 // an instance ends once.
-type Witness struct {
+type CrashDetector struct {
 	losses map[directory.InstanceID][]Loss
 	count  int
 	ended  map[directory.InstanceID]time.Duration
@@ -40,13 +40,13 @@
 	expiredAt time.Duration
 }
 
-// NewWitness returns a witness that has seen nothing.
-func NewWitness() *Witness {
-	return &Witness{losses: make(map[directory.InstanceID][]Loss), ended: make(map[directory.InstanceID]time.Duration)}
+// NewCrashDetector returns a witness that has seen nothing.
+func NewCrashDetector() *CrashDetector {
+	return &CrashDetector{losses: make(map[directory.InstanceID][]Loss), ended: make(map[directory.InstanceID]time.Duration)}
 }
 
 // Lost takes a loss, and returns those that are now known to be of a crash.
-func (w *Witness) Lost(now time.Duration, loss Loss) []Loss {
+func (w *CrashDetector) Lost(now time.Duration, loss Loss) []Loss {
 	w.expire(now)
 	if _, ended := w.ended[loss.Instance]; ended {
 		return []Loss{loss}
@@ -60,14 +60,14 @@
 
 // Ended takes a proof that the process of an instance ended, and returns the losses that this
 // explains.
-func (w *Witness) Ended(now time.Duration, id directory.InstanceID) []Loss {
+func (w *CrashDetector) Ended(now time.Duration, id directory.InstanceID) []Loss {
 	w.expire(now)
 	w.ended[id] = now
 	return w.take(id)
 }
 
 // Waiting returns the instances of which losses wait for a proof.
-func (w *Witness) Waiting() []directory.InstanceID {
+func (w *CrashDetector) Waiting() []directory.InstanceID {
 	waiting := make([]directory.InstanceID, 0, len(w.losses))
 	for id := range w.losses {
 		waiting = append(waiting, id)
@@ -75,7 +75,7 @@
 	return waiting
 }
 
-func (w *Witness) take(id directory.InstanceID) []Loss {
+func (w *CrashDetector) take(id directory.InstanceID) []Loss {
 	taken := w.losses[id]
 	delete(w.losses, id)
 	w.count -= len(taken)
@@ -83,7 +83,7 @@
 }
 
 // expire forgets losses without a proof, and instances that ended long ago.
-func (w *Witness) expire(now time.Duration) {
+func (w *CrashDetector) expire(now time.Duration) {
 	if now-w.expiredAt < expireInterval {
 		return
 	}
--- a/internal/quarantine/witness_test.go
+++ b/internal/quarantine/witness_test.go
@@ -17,24 +17,30 @@
 // after the loss.
 func TestLostConnectionAloneIsNoCrash(t *testing.T) {
 	for name, c := range map[string]struct {
-		events func(*Witness) []Loss
+		events func(*CrashDetector) []Loss
 		want   int
 	}{
-		"no proof":         {func(w *Witness) []Loss { return w.Lost(ended, lossAt("a", ended)) }, 0},
-		"proof of another": {func(w *Witness) []Loss { w.Lost(ended, lossAt("a", ended)); return w.Ended(ended, "b") }, 0},
-		"proof after it":   {func(w *Witness) []Loss { w.Lost(ended, lossAt("a", ended)); return w.Ended(ended+time.Second, "a") }, 1},
-		"proof before it":  {func(w *Witness) []Loss { w.Ended(ended, "a"); return w.Lost(ended+time.Second, lossAt("a", ended)) }, 1},
-		"proof comes twice": {func(w *Witness) []Loss {
+		"no proof":         {func(w *CrashDetector) []Loss { return w.Lost(ended, lossAt("a", ended)) }, 0},
+		"proof of another": {func(w *CrashDetector) []Loss { w.Lost(ended, lossAt("a", ended)); return w.Ended(ended, "b") }, 0},
+		"proof after it": {func(w *CrashDetector) []Loss {
+			w.Lost(ended, lossAt("a", ended))
+			return w.Ended(ended+time.Second, "a")
+		}, 1},
+		"proof before it": {func(w *CrashDetector) []Loss {
+			w.Ended(ended, "a")
+			return w.Lost(ended+time.Second, lossAt("a", ended))
+		}, 1},
+		"proof comes twice": {func(w *CrashDetector) []Loss {
 			w.Lost(ended, lossAt("a", ended))
 			w.Ended(ended, "a")
 			return w.Ended(ended, "a")
 		}, 0},
-		"proof too late": {func(w *Witness) []Loss {
+		"proof too late": {func(w *CrashDetector) []Loss {
 			w.Lost(ended, lossAt("a", ended))
 			return w.Ended(ended+confirmTime+time.Second, "a")
 		}, 0},
 	} {
-		if got := c.events(NewWitness()); len(got) != c.want {
+		if got := c.events(NewCrashDetector()); len(got) != c.want {
 			t.Errorf("%s: %d requests in flight at a crash, want %d", name, len(got), c.want)
 		}
 	}
@@ -42,7 +48,7 @@
 
 // TestWitnessIsBounded: however many connections are lost without a proof.
 func TestWitnessIsBounded(t *testing.T) {
-	w := NewWitness()
+	w := NewCrashDetector()
 	for number := range 10 * mostLosses {
 		w.Lost(ended, lossAt(directory.InstanceID(rune('a'+number%20)), ended))
 	}
