--- a/internal/crashwatch/guard.go
+++ b/internal/crashwatch/guard.go
@@ -58,12 +58,12 @@
 	return tell
 }
 
-// Take takes the suspects of the directory.
-func (g *Guard) Take(suspects directory.Suspects) {
+// SetSuspects takes the suspects of the directory.
+func (g *Guard) SetSuspects(suspects directory.Suspects) {
 	g.do(func(now time.Duration, guard *quarantine.Guard) bool {
 		if suspects.Revision != g.revision {
 			g.revision = suspects.Revision
-			guard.Take(now, suspects.List)
+			guard.SetSuspects(now, suspects.List)
 		}
 		return false
 	})
--- a/internal/crashwatch/guard_test.go
+++ b/internal/crashwatch/guard_test.go
@@ -19,7 +19,7 @@
 func guarded(suspects ...directory.Suspect) (*Guard, *Request) {
 	guard := NewGuard(clock.NewSystem(), "g", 3, make(chan struct{}, 1))
 	guard.Join("cluster")
-	guard.Take(directory.Suspects{List: suspects, Revision: 1})
+	guard.SetSuspects(directory.Suspects{List: suspects, Revision: 1})
 	return guard, &Request{Identify: func() quarantine.Request { return identity }}
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -159,7 +159,7 @@
 	g.drains.note(table)
 	g.evacuations.note(table)
 	g.noteEnded(table)
-	g.guard.Take(table.Suspects)
+	g.guard.SetSuspects(table.Suspects)
 	known := table.Knows
 	g.coldStarts.note(g.clock.Now(), table, known)
 	g.unreachable.forget(known)
--- a/internal/quarantine/guard.go
+++ b/internal/quarantine/guard.go
@@ -98,8 +98,8 @@
 	}
 }
 
-// Take replaces the suspects by those of the directory.
-func (g *Guard) Take(now time.Duration, suspects []directory.Suspect) {
+// SetSuspects replaces the suspects by those of the directory.
+func (g *Guard) SetSuspects(now time.Duration, suspects []directory.Suspect) {
 	clear(g.suspects)
 	for _, suspect := range suspects {
 		g.suspects[suspect.Fingerprint] = suspect
--- a/internal/quarantine/guard_test.go
+++ b/internal/quarantine/guard_test.go
@@ -35,7 +35,7 @@
 		g.Rejected(now, 1)
 		now += ownTime / 2
 	}
-	g.Take(now, []directory.Suspect{{Fingerprint: 1, Path: 7}})
+	g.SetSuspects(now, []directory.Suspect{{Fingerprint: 1, Path: 7}})
 	if got := g.Check(now, 1); got != Reject {
 		t.Errorf("the directory has it by other crashes, and no leader hears of these: verdict %d", got)
 	}
@@ -44,7 +44,7 @@
 	if got := g.Check(now, 1); got != Send {
 		t.Errorf("the leader heard of all and does not put it in quarantine: verdict %d", got)
 	}
-	g.Take(now, nil)
+	g.SetSuspects(now, nil)
 	if !g.Idle() {
 		t.Error("suspected though the leader no longer does")
 	}
@@ -96,12 +96,12 @@
 // TestTrialIsUsedOnce: by the gateway that was named, and given back if nothing was reached.
 func TestTrialIsUsedOnce(t *testing.T) {
 	g := newTestGuard()
-	g.Take(0, []directory.Suspect{{Fingerprint: 1, Path: 7, Quarantined: true, Trials: 1, TrialBy: "other"}})
+	g.SetSuspects(0, []directory.Suspect{{Fingerprint: 1, Path: 7, Quarantined: true, Trials: 1, TrialBy: "other"}})
 	if got := g.Check(0, 1); got != Reject || g.TakeTrial(0, 1) {
 		t.Errorf("another gateway was named: verdict %d", got)
 	}
 	mine := []directory.Suspect{{Fingerprint: 1, Path: 7, Quarantined: true, Trials: 1, TrialBy: "g"}}
-	g.Take(0, mine)
+	g.SetSuspects(0, mine)
 	if !g.TakeTrial(0, 1) || g.TakeTrial(0, 1) {
 		t.Error("a trial is one request")
 	}
@@ -109,7 +109,7 @@
 	if !g.TakeTrial(0, 1) {
 		t.Error("a trial that reached nothing was not given back")
 	}
-	g.Take(time.Second, mine)
+	g.SetSuspects(time.Second, mine)
 	if g.Check(time.Second, 1) != Reject {
 		t.Error("the same trial was granted again by another change")
 	}
@@ -125,7 +125,7 @@
 		t.Errorf("%d suspects, %d things to tell, %d paths", len(g.own), len(g.told), len(g.paths))
 	}
 	g.Report(time.Hour)
-	g.Take(time.Hour, nil)
+	g.SetSuspects(time.Hour, nil)
 	if !g.Idle() || len(g.told) != 0 {
 		t.Errorf("an hour later: idle %t, %d things to tell", g.Idle(), len(g.told))
 	}
--- a/internal/quarantine/model_test.go
+++ b/internal/quarantine/model_test.go
@@ -253,7 +253,7 @@
 			gateway.pending = append(gateway.pending, delayed[directory.Suspects]{m.now + time.Duration(m.random.Int64N(int64(150*time.Millisecond))), current})
 		}
 		for len(gateway.pending) > 0 && gateway.pending[0].at <= m.now {
-			gateway.guard.Take(m.now, gateway.pending[0].content.List)
+			gateway.guard.SetSuspects(m.now, gateway.pending[0].content.List)
 			gateway.pending = gateway.pending[1:]
 		}
 	}
--- a/internal/router/subscription.go
+++ b/internal/router/subscription.go
@@ -326,7 +326,7 @@
 func (s *subscription) takeSuspects(pong message.Pong) {
 	s.guard.Heard(pong.Heard)
 	if pong.Suspects != nil {
-		s.guard.Take(*pong.Suspects)
+		s.guard.SetSuspects(*pong.Suspects)
 	}
 }
 
