--- a/internal/crashwatch/guard.go
+++ b/internal/crashwatch/guard.go
@@ -95,10 +95,10 @@
 	return told
 }
 
-// Heard takes the number of a report that the leader heard.
-func (g *Guard) Heard(number uint64) {
+// Acknowledge takes the number of a report that the leader heard.
+func (g *Guard) Acknowledge(number uint64) {
 	g.do(func(_ time.Duration, guard *quarantine.Guard) bool {
-		guard.Heard(number)
+		guard.Acknowledge(number)
 		return false
 	})
 }
--- a/internal/gateway/demand.go
+++ b/internal/gateway/demand.go
@@ -244,7 +244,7 @@
 		if len(answer.Instances) > 0 {
 			d.instances.answered(answer.Instances)
 		}
-		d.guard.Heard(answer.Heard)
+		d.guard.Acknowledge(answer.Heard)
 	}
 }
 
--- a/internal/quarantine/guard.go
+++ b/internal/quarantine/guard.go
@@ -307,8 +307,8 @@
 	report.Crashes = append(report.Crashes, crash)
 }
 
-// Heard takes the number of a report that the leader heard.
-func (g *Guard) Heard(number uint64) {
+// Acknowledge takes the number of a report that the leader heard.
+func (g *Guard) Acknowledge(number uint64) {
 	for _, each := range g.told {
 		if each.heard || each.report == 0 || each.report > number {
 			continue
--- a/internal/quarantine/guard_test.go
+++ b/internal/quarantine/guard_test.go
@@ -40,7 +40,7 @@
 		t.Errorf("the directory has it by other crashes, and no leader hears of these: verdict %d", got)
 	}
 	report, _ := g.Report(now)
-	g.Heard(report.Number)
+	g.Acknowledge(report.Number)
 	if got := g.Check(now, 1); got != Send {
 		t.Errorf("the leader heard of all and does not put it in quarantine: verdict %d", got)
 	}
@@ -80,7 +80,7 @@
 	if !g.Suspected(1) {
 		t.Error("a crash that no leader heard of is forgotten")
 	}
-	g.Heard(second.Number)
+	g.Acknowledge(second.Number)
 	if g.Suspected(1) {
 		t.Error("a crash that the leader heard of still counts here")
 	}
--- a/internal/router/subscription.go
+++ b/internal/router/subscription.go
@@ -324,7 +324,7 @@
 }
 
 func (s *subscription) takeSuspects(pong message.Pong) {
-	s.guard.Heard(pong.Heard)
+	s.guard.Acknowledge(pong.Heard)
 	if pong.Suspects != nil {
 		s.guard.SetSuspects(*pong.Suspects)
 	}
