--- a/internal/controller/suspects.go
+++ b/internal/controller/suspects.go
@@ -54,7 +54,7 @@
 func (k *suspectKeeper) hear(leadership context.Context, gateway string, report quarantine.Report) {
 	k.guarded(func() {
 		k.follow(leadership)
-		k.ledger.Hear(k.replica.clock.Now(), gateway, report)
+		k.ledger.HandleReport(k.replica.clock.Now(), gateway, report)
 	})
 	select {
 	case k.heard <- struct{}{}:
@@ -138,9 +138,9 @@
 	k.follow(leadership)
 	now := k.replica.clock.Now()
 	k.replica.view(func(view *state.State) { k.ledger.Adopt(now, view.Directory().Suspects()) })
-	for _, id := range k.ledger.Ended() {
+	for _, id := range k.ledger.CrashedInstances() {
 		if at, heard := k.replica.heartbeats.lastHeartbeat(leadership, id); heard {
-			k.ledger.Heard(now, id, at)
+			k.ledger.HandleHeartbeat(now, id, at)
 		}
 	}
 	put, changed := k.ledger.Decide(now)
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -144,8 +144,8 @@
 	e.suspect = suspect
 }
 
-// Hear takes the report of a gateway or router.
-func (l *Ledger) Hear(now time.Duration, process string, report Report) {
+// HandleReport takes the report of a gateway or router.
+func (l *Ledger) HandleReport(now time.Duration, process string, report Report) {
 	for _, answered := range report.Answered {
 		l.answered(now, now-milliseconds(answered.AgoMs), answered.Fingerprint)
 	}
@@ -232,8 +232,8 @@
 	return len(e.suspect.Crashes) >= crashes
 }
 
-// Ended returns the instances that crashed lately, as gateways told.
-func (l *Ledger) Ended() []directory.InstanceID {
+// CrashedInstances returns the instances that crashed lately, as gateways told.
+func (l *Ledger) CrashedInstances() []directory.InstanceID {
 	ids := make([]directory.InstanceID, 0, len(l.ends))
 	for id := range l.ends {
 		ids = append(ids, id)
@@ -241,9 +241,9 @@
 	return ids
 }
 
-// Heard takes when a heartbeat of an instance came last. One that is alive did not crash: a gateway
+// HandleHeartbeat takes when a heartbeat of an instance came last. One that is alive did not crash: a gateway
 // may have been refused connections by what stands between the two.
-func (l *Ledger) Heard(now time.Duration, id directory.InstanceID, at time.Duration) {
+func (l *Ledger) HandleHeartbeat(now time.Duration, id directory.InstanceID, at time.Duration) {
 	end, found := l.ends[id]
 	if !found || at-end.at <= aliveAfter {
 		return
--- a/internal/quarantine/ledger_test.go
+++ b/internal/quarantine/ledger_test.go
@@ -22,7 +22,7 @@
 func hearCrashes(l *Ledger, now time.Duration, fingerprint directory.Fingerprint, count int) time.Duration {
 	for number := range count {
 		now += time.Second
-		l.Hear(now, "g", crashOf(fingerprint, fmt.Sprintf("%s-%d", fingerprint, number)))
+		l.HandleReport(now, "g", crashOf(fingerprint, fmt.Sprintf("%s-%d", fingerprint, number)))
 	}
 	return now
 }
@@ -43,14 +43,14 @@
 func TestDistinctCrashesCount(t *testing.T) {
 	l := newTestLedger()
 	for range 5 {
-		l.Hear(time.Second, "g", crashOf(1, "a"))
+		l.HandleReport(time.Second, "g", crashOf(1, "a"))
 	}
-	l.Hear(2*time.Second, "h", crashOf(1, "b"))
+	l.HandleReport(2*time.Second, "h", crashOf(1, "b"))
 	if suspect, found := suspectOf(t, l, 10*time.Second, 1); !found || suspect.Quarantined || len(suspect.Crashes) != 2 {
 		t.Fatalf("after two crashes: %+v, found %t", suspect, found)
 	}
 	const third = 20 * time.Second
-	l.Hear(third, "i", crashOf(1, "c"))
+	l.HandleReport(third, "i", crashOf(1, "c"))
 	if suspect, _ := suspectOf(t, l, third+grace-time.Millisecond, 1); suspect.Quarantined {
 		t.Error("in quarantine before an answer could clear it")
 	}
@@ -63,14 +63,14 @@
 func TestAnswerClears(t *testing.T) {
 	l := newTestLedger()
 	now := hearCrashes(l, 0, 1, 3)
-	l.Hear(now, "g", Report{Answered: []Answered{{Fingerprint: 1}}})
+	l.HandleReport(now, "g", Report{Answered: []Answered{{Fingerprint: 1}}})
 	late := crashOf(1, "late")
 	late.Crashes[0].EndedAgoMs = 500
-	l.Hear(now+100*time.Millisecond, "h", late)
+	l.HandleReport(now+100*time.Millisecond, "h", late)
 	if suspect, found := suspectOf(t, l, now+time.Minute, 1); found {
 		t.Errorf("suspected though it was answered: %+v", suspect)
 	}
-	l.Hear(now+2*time.Second, "h", crashOf(1, "later"))
+	l.HandleReport(now+2*time.Second, "h", crashOf(1, "later"))
 	if _, found := suspectOf(t, l, now+2*time.Second, 1); !found {
 		t.Error("a crash after the answer does not count")
 	}
@@ -87,8 +87,8 @@
 	if _, changed := next.Decide(time.Second); changed {
 		t.Error("a new leader changes what it found")
 	}
-	next.Hear(2*time.Second, "g", crashOf(1, "0000000000000001-1"))
-	next.Hear(3*time.Second, "g", crashOf(1, "another"))
+	next.HandleReport(2*time.Second, "g", crashOf(1, "0000000000000001-1"))
+	next.HandleReport(3*time.Second, "g", crashOf(1, "another"))
 	if suspect, _ := suspectOf(t, next, 5*time.Second, 1); !suspect.Quarantined || len(suspect.Crashes) != 3 {
 		t.Errorf("after two crashes before and one since: %+v", suspect)
 	}
@@ -118,7 +118,7 @@
 	if suspect, found := suspectOf(t, l, now+time.Minute, 1); !found || suspect.Quarantined {
 		t.Errorf("after the release: %+v, found %t", suspect, found)
 	}
-	l.Hear(now+2*time.Minute, "g", crashOf(1, "next"))
+	l.HandleReport(now+2*time.Minute, "g", crashOf(1, "next"))
 	if suspect, _ := suspectOf(t, l, now+2*time.Minute+grace, 1); !suspect.Quarantined {
 		t.Errorf("after one more crash: %+v", suspect)
 	}
@@ -130,25 +130,25 @@
 	for _, crashes := range []bool{true, false} {
 		l := newTestLedger()
 		for _, id := range []string{"a", "b", "c"} {
-			l.Hear(time.Second, "g", crashOf(1, id))
+			l.HandleReport(time.Second, "g", crashOf(1, id))
 		}
 		now := time.Second + doubtfulGrace
 		if suspect, _ := suspectOf(t, l, now, 1); !suspect.Quarantined || !suspect.Doubtful || suspect.TrialBy != "" {
 			t.Fatalf("three crashes at once: %+v", suspect)
 		}
-		l.Hear(now, "h", Report{Rejected: []directory.Fingerprint{1}})
+		l.HandleReport(now, "h", Report{Rejected: []directory.Fingerprint{1}})
 		if suspect, _ := suspectOf(t, l, now, 1); suspect.TrialBy != "h" || suspect.Trials != 1 {
 			t.Fatalf("after a rejection: %+v", suspect)
 		}
 		if !crashes {
-			l.Hear(now+time.Second, "h", Report{Answered: []Answered{{Fingerprint: 1}}})
+			l.HandleReport(now+time.Second, "h", Report{Answered: []Answered{{Fingerprint: 1}}})
 			if _, found := suspectOf(t, l, now+time.Second, 1); found {
 				t.Error("in quarantine though its trial was answered")
 			}
 			continue
 		}
-		l.Hear(now+time.Second, "h", crashOf(1, "d"))
-		l.Hear(now+time.Hour, "h", Report{Rejected: []directory.Fingerprint{1}})
+		l.HandleReport(now+time.Second, "h", crashOf(1, "d"))
+		l.HandleReport(now+time.Hour, "h", Report{Rejected: []directory.Fingerprint{1}})
 		if suspect, _ := suspectOf(t, l, now+time.Hour, 1); !suspect.Quarantined || suspect.Doubtful || suspect.TrialBy != "" {
 			t.Errorf("after a trial that took an instance down: %+v", suspect)
 		}
@@ -159,11 +159,11 @@
 func TestTrialsAreBounded(t *testing.T) {
 	l := newTestLedger()
 	for _, id := range []string{"a", "b", "c"} {
-		l.Hear(time.Second, "g", crashOf(1, id))
+		l.HandleReport(time.Second, "g", crashOf(1, id))
 	}
 	trials := 0
 	for now := time.Second; now < time.Hour; now += time.Second {
-		l.Hear(now, "g", Report{Rejected: []directory.Fingerprint{1}})
+		l.HandleReport(now, "g", Report{Rejected: []directory.Fingerprint{1}})
 		suspect, _ := suspectOf(t, l, now, 1)
 		trials = max(trials, suspect.Trials)
 	}
@@ -185,7 +185,7 @@
 		}
 	}
 	for number := range 5000 {
-		l.Hear(now, "g", crashOf(directory.Fingerprint(100000+number), fmt.Sprint(number%7)))
+		l.HandleReport(now, "g", crashOf(directory.Fingerprint(100000+number), fmt.Sprint(number%7)))
 	}
 	if put, _ := l.Decide(now); len(put.List) != mostSuspects+mostQuarantined {
 		t.Errorf("%d suspects are remembered, want %d", len(put.List), mostSuspects+mostQuarantined)
@@ -210,7 +210,7 @@
 	if _, found := suspectOf(t, l, now+11*time.Minute, 2); found {
 		t.Error("a request that was near one crash is remembered for long")
 	}
-	l.Hear(now+23*time.Hour, "g", Report{Rejected: []directory.Fingerprint{1}})
+	l.HandleReport(now+23*time.Hour, "g", Report{Rejected: []directory.Fingerprint{1}})
 	if _, found := suspectOf(t, l, now+46*time.Hour, 1); !found {
 		t.Error("the quarantine of a request that comes again ends")
 	}
@@ -228,16 +228,16 @@
 		t.Fatal("not in quarantine after three crashes")
 	}
 	first := directory.InstanceID("0000000000000001-0")
-	l.Heard(now, first, time.Second+aliveAfter)
+	l.HandleHeartbeat(now, first, time.Second+aliveAfter)
 	if suspect, _ := suspectOf(t, l, now, 1); !suspect.Quarantined {
 		t.Error("a late heartbeat ended the quarantine")
 	}
-	l.Heard(now, first, time.Second+aliveAfter+time.Millisecond)
+	l.HandleHeartbeat(now, first, time.Second+aliveAfter+time.Millisecond)
 	if suspect, found := suspectOf(t, l, now, 1); !found || suspect.Quarantined || len(suspect.Crashes) != 2 {
 		t.Errorf("one of three instances did not crash: %+v, found %t", suspect, found)
 	}
-	for _, id := range l.Ended() {
-		l.Heard(now, id, now+time.Minute)
+	for _, id := range l.CrashedInstances() {
+		l.HandleHeartbeat(now, id, now+time.Minute)
 	}
 	if _, found := suspectOf(t, l, now, 1); found {
 		t.Error("suspected though no instance crashed")
--- a/internal/quarantine/model_test.go
+++ b/internal/quarantine/model_test.go
@@ -264,7 +264,7 @@
 		case each.at > m.now:
 			m.reports = append(m.reports, each)
 		case each.content.term == m.term && m.now >= m.silentTo:
-			m.ledger.Hear(m.now, fmt.Sprintf("g%d", each.content.gateway), each.content.report)
+			m.ledger.HandleReport(m.now, fmt.Sprintf("g%d", each.content.gateway), each.content.report)
 			m.gateways[each.content.gateway].guard.Acknowledge(each.content.report.Number)
 		default:
 		}
