--- a/internal/crashwatch/guard.go
+++ b/internal/crashwatch/guard.go
@@ -36,8 +36,8 @@
 	return guard
 }
 
-// Join takes the secret by which all processes of a cluster compute the same fingerprints.
-func (g *Guard) Join(secret string) { g.hasher.Store(quarantine.NewHasher(secret)) }
+// SetSecret takes the secret by which all processes of a cluster compute the same fingerprints.
+func (g *Guard) SetSecret(secret string) { g.hasher.Store(quarantine.NewHasher(secret)) }
 
 // do calls a function with the guard, and tells the leader at once if it returns true.
 func (g *Guard) do(call func(now time.Duration, guard *quarantine.Guard) (tell bool)) {
--- a/internal/crashwatch/guard_test.go
+++ b/internal/crashwatch/guard_test.go
@@ -18,7 +18,7 @@
 // guarded returns a guard that knows of suspects, and a request.
 func guarded(suspects ...directory.Suspect) (*Guard, *Request) {
 	guard := NewGuard(clock.NewSystem(), "g", 3, make(chan struct{}, 1))
-	guard.Join("cluster")
+	guard.SetSecret("cluster")
 	guard.SetSuspects(directory.Suspects{List: suspects, Revision: 1})
 	return guard, &Request{Identify: func() quarantine.Request { return identity }}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -142,7 +142,7 @@
 	gateway.guard = gateway.demand.guard
 	gateway.crashes = crashwatch.NewWatch(system, log, gateway.guard.Crashed)
 	gateway.guard.RegisterMetrics(gateway.registry)
-	gateway.subscription.joined = gateway.guard.Join
+	gateway.subscription.joined = gateway.guard.SetSecret
 	gateway.tenantTokens, gateway.instanceTokens = gateway.demand.tenants, gateway.demand.instances
 	gateway.subscription.changed = gateway.tableChanged
 	gateway.places = newPlaces(system, settings, log, newPlaceKeeper(system, gateway.mayKeep), meter)
--- a/internal/router/subscription.go
+++ b/internal/router/subscription.go
@@ -292,7 +292,7 @@
 		complete, err := s.builder.ApplySnapshot(*frame.Snapshot)
 		if complete {
 			s.resync = false
-			s.guard.Join(string(s.builder.Table().Cluster()))
+			s.guard.SetSecret(string(s.builder.Table().Cluster()))
 			telemetry.With(s.log, telemetry.EventTableSnapshot).
 				WithField(telemetry.FieldRevision, frame.Snapshot.Revision).Info("routing table received")
 			s.advance()
