--- a/internal/execution/outcome.go
+++ b/internal/execution/outcome.go
@@ -64,7 +64,7 @@
 	switch failure.Kind {
 	case fault.Draining:
 		events := e.alive()
-		if health.Drained(server) {
+		if health.MarkDraining(server) {
 			events = append(events, ServerDraining)
 		}
 		return events
--- a/internal/health/tracker.go
+++ b/internal/health/tracker.go
@@ -121,10 +121,10 @@
 	t.record(id).probing = false
 }
 
-// Drained records that the server refused work because it drains. It gets no
+// MarkDraining records that the server refused work because it drains. It gets no
 // new work until the controllers change its object: a new session, or its
 // leaving mark. It reports whether that was not known before.
-func (t *Tracker) Drained(server *state.Server) bool {
+func (t *Tracker) MarkDraining(server *state.Server) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	found := t.record(server.ID)
--- a/internal/health/tracker_test.go
+++ b/internal/health/tracker_test.go
@@ -81,7 +81,7 @@
 func TestDrainingGetsNoWorkUntilItsObjectChanges(t *testing.T) {
 	tracker := NewTracker(DefaultSettings())
 	all := servers("a", "b")
-	tracker.Drained(all[0])
+	tracker.MarkDraining(all[0])
 	tracker.Succeeded("a")
 	wantChosen(t, tracker.Choose(all, time.Hour), "b")
 	wantChosen(t, tracker.Choose(all[:1], time.Hour))
