--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -400,8 +400,8 @@
 	}
 }
 
-// Standing is what is known of an instance's load, for logs.
-type Standing struct {
+// InstanceLoad is what is known of an instance's load, for logs.
+type InstanceLoad struct {
 	Instance directory.InstanceID `json:"instance"`
 	InFlight int                  `json:"in_flight"`
 	// LatencyMs is the moving mean; zero before the first answer.
@@ -412,13 +412,13 @@
 // mostStandings bounds the instances that Standings returns.
 const mostStandings = 12
 
-// Standings returns what is known of the loads of instances.
-func (b *Balancer) Standings(now time.Duration, instances []directory.Instance) []Standing {
+// InstanceLoads returns what is known of the loads of instances.
+func (b *Balancer) InstanceLoads(now time.Duration, instances []directory.Instance) []InstanceLoad {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	standings := make([]Standing, 0, min(len(instances), mostStandings))
+	standings := make([]InstanceLoad, 0, min(len(instances), mostStandings))
 	for _, instance := range instances[:min(len(instances), mostStandings)] {
-		standing := Standing{Instance: instance.ID}
+		standing := InstanceLoad{Instance: instance.ID}
 		if known, found := b.loads[instance.ID]; found {
 			standing.InFlight = known.inFlight
 			standing.LatencyMs = int64(known.latency * float64(time.Second/time.Millisecond))
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -96,7 +96,7 @@
 	}
 	instance, chosen := g.chooseAmong(now, current, candidates)
 	if !chosen {
-		current.candidates = g.balancer.Standings(g.clock.Now(), candidates)
+		current.candidates = g.balancer.InstanceLoads(g.clock.Now(), candidates)
 		return directory.Instance{}, fault.Newf(fault.QueueFull, "each instance of service %q has as many requests as it may", current.service)
 	}
 	if !g.unreachable.mayAsk(now, instance.ID) {
@@ -214,7 +214,7 @@
 		return instance, failure
 	}
 	if !g.balancer.TryBegin(g.clock.Now(), instance, keyedLimit(instance.Slots)) {
-		current.candidates = g.balancer.Standings(g.clock.Now(), []directory.Instance{instance})
+		current.candidates = g.balancer.InstanceLoads(g.clock.Now(), []directory.Instance{instance})
 		return directory.Instance{}, fault.Newf(fault.QueueFull, "the holder of key %d has as many requests as it may", current.key)
 	}
 	if !g.coldStarts.take(g.clock.Now(), instance.ID) {
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -51,7 +51,7 @@
 	outcomes []attemptOutcome
 	// candidates are the instances that a refused request could not be sent to, with
 	// their loads, for the log.
-	candidates []balance.Standing
+	candidates []balance.InstanceLoad
 	// urgency is the rank of its route's priority, from 0 for the least urgent to 1.
 	urgency float64
 	// reserved is the room that was reserved on the own link, in bytes.
