--- a/internal/retry/policy.go
+++ b/internal/retry/policy.go
@@ -6,13 +6,13 @@
 	"github.com/thorntiller/thorntiller/internal/fault"
 )
 
-// Policy holds the bounds on resends of one request.
+// Policy limits the resends of one request.
 type Policy struct {
-	// MaxAttempts bounds attempts, the first one included.
+	// MaxAttempts limits the attempts, including the first one.
 	MaxAttempts int
-	// BaseDelay is the back-off before the first resend; it doubles each time.
+	// BaseDelay is the back-off before the first resend; it doubles with each further one.
 	BaseDelay time.Duration
-	// MaxDelay bounds the back-off.
+	// MaxDelay limits the back-off.
 	MaxDelay time.Duration
 }
 
@@ -21,20 +21,20 @@
 	return Policy{MaxAttempts: 5, BaseDelay: 10 * time.Millisecond, MaxDelay: 400 * time.Millisecond}
 }
 
-// Allowed reports whether a request whose attempt ended with the kind may be
-// sent again. Without a proof that it did not run, only a request that the
-// caller marked as repeatable may, and only where a back end was at fault.
+// Allowed reports whether a request whose attempt ended with a failure of this kind may be sent again. If
+// the attempt may have run, only a request that the caller marked as repeatable may be sent again, and only
+// after a failure of the back end or of the connection to it.
 func Allowed(kind fault.Kind, repeatable bool) bool {
 	answer := fault.AnswerFor(kind)
 	if answer.Resend {
 		return true
 	}
-	return repeatable && brokenAttempt(kind)
+	return repeatable && retryableWithUnknownOutcome(kind)
 }
 
-// brokenAttempt lists the failures of one attempt whose outcome is unknown and
-// after which another attempt can still succeed in time.
-func brokenAttempt(kind fault.Kind) bool {
+// retryableWithUnknownOutcome reports whether an attempt that failed with this kind may have run, while
+// another attempt can still succeed in time.
+func retryableWithUnknownOutcome(kind fault.Kind) bool {
 	switch kind {
 	case fault.ConnectionLost, fault.AnswerTruncated, fault.AnswerMismatched:
 		return true
@@ -43,8 +43,8 @@
 	}
 }
 
-// OwnershipChanged reports whether the kind says that the back end no longer,
-// or not yet, owns the shard, so that a change of the routing table is due.
+// OwnershipChanged reports whether the failure says that the back end no longer owns the shard, or does not
+// own it yet, so that a newer routing table is to be expected.
 func OwnershipChanged(kind fault.Kind) bool {
 	switch kind {
 	case fault.WrongEpoch, fault.LeaseExpired, fault.Draining:
@@ -54,8 +54,8 @@
 	}
 }
 
-// Delay returns the back-off after the given number of attempts. Jitter is a
-// random number in [0, 1) and spreads the delay over its upper half.
+// Delay returns the back-off after the given number of attempts. Jitter is a random number in [0, 1) and
+// spreads the delay over its upper half.
 func (p Policy) Delay(attempts int, jitter float64) time.Duration {
 	delay := p.BaseDelay
 	for i := 1; i < attempts && delay < p.MaxDelay; i++ {
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -69,28 +69,28 @@
 	}
 }
 
-// TestBurstsOfAllSendersKeepToTheSlack: when all gateways meet a failing service at once, what they
-// send beyond their share stays within the slack of the fleet, with n and 2n of them and twice the
-// slack.
+// TestBurstsOfAllSendersKeepToTheSlack: when all gateways meet a failing service at the same time, their
+// resends beyond the share stay within the slack of the fleet; also with twice as many gateways and twice
+// the slack.
 func TestBurstsOfAllSendersKeepToTheSlack(t *testing.T) {
-	const most = 2
+	const maxBurst = 2
 	for _, fleet := range []struct {
 		senders int
 		slack   float64
 	}{{8, 56}, {500, 540}, {985, 1040}, {1970, 2080}} {
 		sent := 0
 		for range fleet.senders {
-			budget := NewBudget(0, most)
-			budget.SetBurst(BurstOf(fleet.slack, fleet.senders, most))
+			budget := NewBudget(0, maxBurst)
+			budget.SetBurst(BurstOf(fleet.slack, fleet.senders, maxBurst))
 			for budget.TakeResend() {
 				sent++
 			}
 		}
 		if float64(sent) > fleet.slack || sent < fleet.senders {
-			t.Errorf("%d senders resend %d times at once, allowed are %g", fleet.senders, sent, fleet.slack)
+			t.Errorf("%d senders: %d resends at once with a slack of %g", fleet.senders, sent, fleet.slack)
 		}
 	}
-	if BurstOf(0, 985, most) != most || BurstOf(1040, 0, most) != most {
-		t.Error("bounded without a slack or a number of senders that are known")
+	if BurstOf(0, 985, maxBurst) != maxBurst || BurstOf(1040, 0, maxBurst) != maxBurst {
+		t.Error("the burst is reduced although the slack or the number of senders is not known")
 	}
 }
