--- a/internal/quarantine/doc.go
+++ b/internal/quarantine/doc.go
@@ -1,11 +1,11 @@
-// Package quarantine keeps requests that crash their servers away from further ones.
+// Package quarantine stops requests that crash their servers from being sent to more servers.
 //
-// A gateway or router notes the requests whose attempts ended without an answer, and takes them for in
-// flight at a crash once the instance has surely ended (Witness). The same request comes again under
-// other identifiers and through other processes; it is known by its fingerprint (Hasher). The leading
-// controller counts the crashes of each over all processes and puts it in quarantine after enough of
-// them (Ledger); its list is part of the replicated directory, by which each process decides what it
-// sends (Guard).
+// A gateway or router records the attempts that ended without an answer. Once it is proved that the
+// instance has ended, it treats them as in flight at a crash (CrashDetector). The same request may be
+// sent again under other identifiers and through other processes, so it is recognised by its fingerprint
+// (Hasher). The leading controller counts the crashes of each request over all processes and, after
+// enough of them, puts it in quarantine (Ledger). The list of suspects is part of the replicated
+// directory, and each process uses it to decide what it sends (Guard).
 //
-// It is a pure core: it reads no clock and is not safe for concurrent use.
+// The package does no I/O, reads no clock and is not safe for concurrent use, except for Hasher.
 package quarantine
--- a/internal/quarantine/event.go
+++ b/internal/quarantine/event.go
@@ -6,45 +6,45 @@
 	"github.com/thorntiller/thorntiller/internal/directory"
 )
 
-// Decision is what the leader decided about a request.
+// Decision is a decision of the leader about a request.
 type Decision string
 
 // Decisions about a request.
 const (
-	// Suspected: it was in flight at one more crash.
+	// Suspected means that the request was in flight at another crash.
 	Suspected Decision = "suspected"
-	// Quarantined: it is sent to no instance any more.
+	// Quarantined means that the request is no longer sent to any instance.
 	Quarantined Decision = "quarantined"
-	// Cleared: an instance answered it, or did not crash.
+	// Cleared means that an instance answered the request, or that the instance turned out not to have crashed.
 	Cleared Decision = "cleared"
-	// Tried: a gateway may send it once.
+	// Tried means that one gateway or router may send the request once.
 	Tried Decision = "tried"
-	// Expired: it did not come again for long.
+	// Expired means that the request was not seen for the configured time.
 	Expired Decision = "expired"
-	// Evicted: there were too many others.
+	// Evicted means that the request was dropped to keep the number of suspects within its limit.
 	Evicted Decision = "evicted"
 )
 
-// Event is a decision with what it rests on.
+// Event is a decision and the suspect that it concerns.
 type Event struct {
 	Decision Decision
 	Suspect  directory.Suspect
-	// Age is how long ago its last crash was heard of.
+	// Age is the time since the last crash of the suspect was reported.
 	Age time.Duration
 }
 
-// mostEvents bounds the events that wait to be taken.
-const mostEvents = 1024
+// maxPendingEvents limits the events kept between two calls of Events; further ones are dropped.
+const maxPendingEvents = 1024
 
-func (l *Ledger) tell(now time.Duration, decision Decision, known *entry) {
-	if len(l.events) < mostEvents {
-		l.events = append(l.events, Event{Decision: decision, Suspect: known.suspect, Age: now - known.lastCrashAt})
+func (l *Ledger) recordEvent(now time.Duration, decision Decision, e *entry) {
+	if len(l.events) < maxPendingEvents {
+		l.events = append(l.events, Event{Decision: decision, Suspect: e.suspect, Age: now - e.lastCrashAt})
 	}
 }
 
-// Events returns the decisions since the last call.
+// Events returns the decisions made since the last call.
 func (l *Ledger) Events() []Event {
-	taken := l.events
+	events := l.events
 	l.events = nil
-	return taken
+	return events
 }
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -11,35 +11,35 @@
 	"github.com/thorntiller/thorntiller/internal/directory"
 )
 
-// Request is what makes two requests the same. A request that is sent again has another identifier
-// and deadline, which do not count.
+// Request holds the parts of a request that identify it. The identifier and the deadline are left out,
+// because they differ when the request is sent again.
 type Request struct {
 	Method, Host, URI []byte
-	// Caller tells callers apart: the credential that the caller shows, or its IP address.
+	// Caller identifies the caller by its credential or IP address; see CallerOf.
 	Caller string
-	// Key is the header with the request's key; empty for none.
+	// Key is the value of the header with the request's key; empty if there is none.
 	Key  []byte
 	Body []byte
 }
 
-// Hasher computes fingerprints under one key. It may be used by several goroutines.
+// Hasher computes keyed fingerprints. It is safe for concurrent use.
 type Hasher struct{ key []byte }
 
-// maxHashKey is the longest key of the hash, in bytes.
-const maxHashKey = 64
+// maxHashKeyBytes is the longest key that BLAKE2b accepts.
+const maxHashKeyBytes = 64
 
-// NewHasher returns a hasher whose key all gateways share and callers do not know, so that nobody
-// can make a request that has the fingerprint of somebody else's.
+// NewHasher returns a hasher keyed by a secret that all gateways share and callers do not know, so that
+// a caller cannot construct a request whose fingerprint collides with another caller's.
 func NewHasher(secret string) *Hasher {
-	return &Hasher{key: []byte(secret[:min(len(secret), maxHashKey)])}
+	return &Hasher{key: []byte(secret[:min(len(secret), maxHashKeyBytes)])}
 }
 
-// Fingerprint returns that of a request.
+// Fingerprint returns the fingerprint of a request.
 func (h *Hasher) Fingerprint(request Request) directory.Fingerprint {
 	const fingerprintBytes = 8
 	state, err := blake2b.New(fingerprintBytes, h.key)
 	if err != nil {
-		// Size and key are within the bounds of the hash.
+		// Cannot happen: the size and the key are within the limits of BLAKE2b.
 		panic("quarantine: hash a request: " + err.Error())
 	}
 	for _, part := range [][]byte{request.Method, request.Host, request.URI, []byte(request.Caller), request.Key, request.Body} {
@@ -48,15 +48,16 @@
 	return directory.Fingerprint(binary.BigEndian.Uint64(state.Sum(nil)))
 }
 
-// writePart adds a part with its length, so that bytes cannot pass from one part to the next.
+// writePart writes a part prefixed with its length, so that moving bytes from one part to the next
+// changes the hash.
 func writePart(state hash.Hash, part []byte) {
 	var length [8]byte
 	binary.BigEndian.PutUint64(length[:], uint64(len(part)))
-	_, _ = state.Write(length[:]) // a hash takes all that is written
+	_, _ = state.Write(length[:]) // hash.Hash.Write never returns an error
 	_, _ = state.Write(part)
 }
 
-// CallerOf tells a caller from others by the credential that it shows, or by its IP address.
+// CallerOf returns a string that identifies a caller by its credential or, without one, by its IP address.
 func CallerOf(credential []byte, remote net.Addr) string {
 	if len(credential) > 0 {
 		return "credential " + string(credential)
@@ -67,10 +68,10 @@
 	return ""
 }
 
-// PathOf returns the hash of a request's host and path.
+// PathOf returns the hash of a request's host and URI.
 func PathOf(host, uri []byte) directory.PathHash {
 	digest := xxhash.New()
-	_, _ = digest.Write(host) // a hash takes all that is written
+	_, _ = digest.Write(host) // xxhash's Write never returns an error
 	_, _ = digest.Write([]byte{0})
 	_, _ = digest.Write(uri)
 	return directory.PathHash(digest.Sum64())
--- a/internal/quarantine/guard.go
+++ b/internal/quarantine/guard.go
@@ -6,95 +6,99 @@
 	"github.com/thorntiller/thorntiller/internal/directory"
 )
 
-// Verdict is whether a request may be sent.
+// Verdict says whether a request may be sent.
 type Verdict int
 
 // Verdicts on a request.
 const (
-	// Send: nothing is known that speaks against it.
+	// Send means that the request is not in quarantine.
 	Send Verdict = iota
-	// Try: it is in quarantine, and may be sent once to find out whether it is to blame.
+	// Try means that the request is in quarantine, but may be sent once to find out whether it causes the crashes.
 	Try
-	// Reject: it is in quarantine.
+	// Reject means that the request is in quarantine and must not be sent.
 	Reject
 )
 
 const (
-	// retellPause is how long the leader has to repeat the number of a report.
-	retellPause = time.Second
-	// toldTime is how long what happened is told again to a leader that is met anew. Crashes are for as
-	// long as they keep a request in quarantine here.
-	toldTime = time.Minute
-	// rejectedPause is the time between two reports that a request in quarantine came again.
-	rejectedPause = 5 * time.Second
-	// mostTold bounds what waits to be told, of each kind.
-	mostTold = 512
-	// ownTime is how long after it came last a process keeps a request in quarantine by itself.
-	ownTime = time.Minute
-	// mostOwn bounds the requests that a process suspects by itself.
-	mostOwn = 256
+	// reportRetryInterval is how long to wait for the leader's acknowledgement before an observation is
+	// reported again.
+	reportRetryInterval = time.Second
+	// observationRetention is how long an observation is kept so that it can be reported again to a new
+	// leader. A crash is kept longer while it keeps a request suspected locally.
+	observationRetention = time.Minute
+	// rejectionReportInterval is the time between two reports that a quarantined request was received again.
+	rejectionReportInterval = 5 * time.Second
+	// maxObservations limits the observations that are kept; further ones are dropped.
+	maxObservations = 512
+	// localSuspectTime is how long a request stays suspected, or in quarantine, by this process alone after it
+	// was last seen.
+	localSuspectTime = time.Minute
+	// maxLocalSuspects limits the requests that this process suspects by itself.
+	maxLocalSuspects = 256
 )
 
-// Guard decides at one gateway or router which requests are sent, and keeps what the leader is to be
-// told.
+// Guard decides in one gateway or router which requests may be sent, and keeps the observations that are
+// to be reported to the leader.
 type Guard struct {
 	// process is the name of the gateway or router.
 	process string
-	// crashes are enough to put a request in quarantine here while no leader hears of them.
-	crashes int
+	// crashThreshold is the number of instances whose crashes put a request in quarantine locally, as long as
+	// no leader has acknowledged these crashes.
+	crashThreshold int
 	// suspects are those of the directory.
 	suspects map[directory.Fingerprint]directory.Suspect
-	// own are the requests that were in flight at crashes that no leader has heard of yet: without a
-	// leader a process goes by what it knows.
-	own map[directory.Fingerprint]*ownSuspect
-	// paths has the paths of the requests in both.
-	paths map[directory.PathHash]bool
-	// tried is the number of the last trial of each request in quarantine that was used here.
-	tried map[directory.Fingerprint]int
-	// number is that of the last report.
-	number uint64
-	// told is what the leader was told, or is to be, and rejected are the requests in quarantine that
-	// came again.
-	told     []*observation
-	rejected map[directory.Fingerprint]*rejection
+	// localSuspects are requests that were in flight at crashes which no leader has acknowledged yet. They let
+	// the process protect its servers without a leader.
+	localSuspects map[directory.Fingerprint]*localSuspect
+	// suspectedPaths has the path hashes of suspects and localSuspects.
+	suspectedPaths map[directory.PathHash]bool
+	// usedTrials has, for each request in quarantine, the number of the last trial that this process used.
+	usedTrials map[directory.Fingerprint]int
+	// lastReport is the number of the last report.
+	lastReport uint64
+	// observations are reported to the leader until it acknowledges them, and kept for a possible new leader;
+	// rejections are the quarantined requests that were received again.
+	observations []*observation
+	rejections   map[directory.Fingerprint]*rejection
 }
 
-// ownSuspect is a request that this process suspects by itself.
-type ownSuspect struct {
+// localSuspect is a request that this process suspects by itself.
+type localSuspect struct {
 	path      directory.PathHash
 	instances map[directory.InstanceID]bool
-	// lastAt is when the last crash was seen or the request came last, and enoughAt when there were
-	// enough crashes for a quarantine.
-	lastAt, enoughAt time.Duration
+	// lastSeenAt is when its last crash was detected or it was last rejected; thresholdAt is when the crashes
+	// reached the threshold.
+	lastSeenAt, thresholdAt time.Duration
 }
 
-// observation is something that the leader is to be told.
+// observation is a crash or an answer that is to be reported to the leader.
 type observation struct {
-	at       time.Duration
-	crash    *Crash
-	took     time.Duration
-	answered directory.Fingerprint
-	// report is the number of the report that told it last, at reportedAt; zero before. Heard is
-	// true once the leader repeated that number.
-	report     uint64
-	reportedAt time.Duration
-	heard      bool
+	at          time.Duration
+	crash       *Crash
+	inFlightFor time.Duration
+	answered    directory.Fingerprint
+	// reportNumber is the number of the report that contained it last, sent at reportedAt; zero if there was
+	// none. acknowledged is true once the leader has confirmed that number.
+	reportNumber uint64
+	reportedAt   time.Duration
+	acknowledged bool
 }
 
-// rejection is a request in quarantine that came again.
+// rejection tracks the reports about a quarantined request that was received again.
 type rejection struct {
-	due    bool
-	toldAt time.Duration
+	reportDue  bool
+	reportedAt time.Duration
 }
 
-// NewGuard returns the guard of a process, which puts a request in quarantine by itself after a number
-// of crashes that no leader heard of.
-func NewGuard(process string, crashes int) *Guard {
+// NewGuard returns the guard of a process. crashThreshold is the number of instances whose crashes put a
+// request in quarantine locally, as long as no leader has acknowledged these crashes.
+func NewGuard(process string, crashThreshold int) *Guard {
 	return &Guard{
-		process: process, crashes: crashes,
-		suspects: make(map[directory.Fingerprint]directory.Suspect), own: make(map[directory.Fingerprint]*ownSuspect),
-		paths: make(map[directory.PathHash]bool), tried: make(map[directory.Fingerprint]int),
-		rejected: make(map[directory.Fingerprint]*rejection),
+		process: process, crashThreshold: crashThreshold,
+		suspects:       make(map[directory.Fingerprint]directory.Suspect),
+		localSuspects:  make(map[directory.Fingerprint]*localSuspect),
+		suspectedPaths: make(map[directory.PathHash]bool), usedTrials: make(map[directory.Fingerprint]int),
+		rejections: make(map[directory.Fingerprint]*rejection),
 	}
 }
 
@@ -104,237 +108,239 @@
 	for _, suspect := range suspects {
 		g.suspects[suspect.Fingerprint] = suspect
 	}
-	for fingerprint := range g.tried {
+	for fingerprint := range g.usedTrials {
 		if _, found := g.suspects[fingerprint]; !found {
-			delete(g.tried, fingerprint)
+			delete(g.usedTrials, fingerprint)
 		}
 	}
-	for fingerprint := range g.rejected {
+	for fingerprint := range g.rejections {
 		if _, found := g.suspects[fingerprint]; !found {
-			delete(g.rejected, fingerprint)
+			delete(g.rejections, fingerprint)
 		}
 	}
-	g.index(now)
+	g.rebuildPaths(now)
 }
 
-// index expires own suspects and finds the paths of all.
-func (g *Guard) index(now time.Duration) {
-	clear(g.paths)
+// rebuildPaths removes expired local suspects and rebuilds the set of suspected paths.
+func (g *Guard) rebuildPaths(now time.Duration) {
+	clear(g.suspectedPaths)
 	for _, suspect := range g.suspects {
-		g.paths[suspect.Path] = true
+		g.suspectedPaths[suspect.Path] = true
 	}
-	for fingerprint, own := range g.own {
-		if now-own.lastAt > ownTime {
-			delete(g.own, fingerprint)
+	for fingerprint, local := range g.localSuspects {
+		if now-local.lastSeenAt > localSuspectTime {
+			delete(g.localSuspects, fingerprint)
 			continue
 		}
-		g.paths[own.path] = true
+		g.suspectedPaths[local.path] = true
 	}
 }
 
 // Idle reports whether no request is suspected.
-func (g *Guard) Idle() bool { return len(g.paths) == 0 }
+func (g *Guard) Idle() bool { return len(g.suspectedPaths) == 0 }
 
-// Watches reports whether a request for a path may be suspected.
-func (g *Guard) Watches(path directory.PathHash) bool { return g.paths[path] }
+// Watches reports whether a request with this path hash may be suspected.
+func (g *Guard) Watches(path directory.PathHash) bool { return g.suspectedPaths[path] }
 
-// Suspects returns how many requests are suspected, those in quarantine included, and how many are
-// in quarantine.
+// Suspects returns the number of suspected requests, including those in quarantine, and the number of
+// requests in quarantine.
 func (g *Guard) Suspects() (suspected, quarantined int) {
 	for _, suspect := range g.suspects {
 		if suspect.Quarantined {
 			quarantined++
 		}
 	}
-	return len(g.suspects) + len(g.own), quarantined
+	return len(g.suspects) + len(g.localSuspects), quarantined
 }
 
-// Suspected reports whether a request was in flight at a crash since it was answered last.
+// Suspected reports whether a request was in flight at a crash since it was last answered.
 func (g *Guard) Suspected(fingerprint directory.Fingerprint) bool {
-	_, known := g.suspects[fingerprint]
-	_, own := g.own[fingerprint]
-	return known || own
+	_, inDirectory := g.suspects[fingerprint]
+	_, local := g.localSuspects[fingerprint]
+	return inDirectory || local
 }
 
-// Check returns whether a request may be sent. A trial is used up by TakeTrial.
+// Check returns whether a request may be sent. It does not use up a trial; TakeTrial does.
 func (g *Guard) Check(now time.Duration, fingerprint directory.Fingerprint) Verdict {
 	suspect := g.suspects[fingerprint]
 	switch {
-	case suspect.Quarantined && suspect.TrialBy == g.process && g.tried[fingerprint] < suspect.Trials:
+	case suspect.Quarantined && suspect.TrialBy == g.process && g.usedTrials[fingerprint] < suspect.Trials:
 		return Try
 	case suspect.Quarantined:
 		return Reject
 	default:
 	}
-	own, found := g.own[fingerprint]
-	if !found || len(own.instances) < g.crashes || now-own.enoughAt < grace || now-own.lastAt > ownTime {
+	local, found := g.localSuspects[fingerprint]
+	if !found || len(local.instances) < g.crashThreshold ||
+		now-local.thresholdAt < gracePeriod || now-local.lastSeenAt > localSuspectTime {
 		return Send
 	}
 	return Reject
 }
 
-// TakeTrial uses up the trial of a request. It reports false if another request used it.
+// TakeTrial uses up the trial of a request. It returns false if there is no trial left.
 func (g *Guard) TakeTrial(now time.Duration, fingerprint directory.Fingerprint) bool {
 	if g.Check(now, fingerprint) != Try {
 		return false
 	}
-	g.tried[fingerprint] = g.suspects[fingerprint].Trials
+	g.usedTrials[fingerprint] = g.suspects[fingerprint].Trials
 	return true
 }
 
-// ReturnTrial gives back the trial of a request that reached no instance.
+// ReturnTrial makes the trial available again after an attempt that reached no instance.
 func (g *Guard) ReturnTrial(fingerprint directory.Fingerprint) {
-	if g.tried[fingerprint] > 0 {
-		g.tried[fingerprint]--
+	if g.usedTrials[fingerprint] > 0 {
+		g.usedTrials[fingerprint]--
 	}
 }
 
-// Rejected takes that a request in quarantine came again, and reports whether the leader is to be
+// Rejected records that a quarantined request was received again, and reports whether the leader is to be
 // told.
 func (g *Guard) Rejected(now time.Duration, fingerprint directory.Fingerprint) bool {
-	if own, found := g.own[fingerprint]; found {
-		own.lastAt = now
+	if local, found := g.localSuspects[fingerprint]; found {
+		local.lastSeenAt = now
 	}
-	known, found := g.rejected[fingerprint]
+	r, found := g.rejections[fingerprint]
 	if !found {
-		g.rejected[fingerprint] = &rejection{due: true}
+		g.rejections[fingerprint] = &rejection{reportDue: true}
 		return true
 	}
-	known.due = known.due || now-known.toldAt >= rejectedPause
-	return known.due
+	r.reportDue = r.reportDue || now-r.reportedAt >= rejectionReportInterval
+	return r.reportDue
 }
 
-// Crashed takes requests that were in flight at a crash.
+// Crashed records requests that were in flight at a crash.
 func (g *Guard) Crashed(now time.Duration, losses []Loss) {
 	for _, loss := range losses {
-		g.add(&observation{at: loss.Ended, took: loss.Ended - loss.Began, crash: &Crash{
+		g.addObservation(&observation{at: loss.Ended, inFlightFor: loss.Ended - loss.Began, crash: &Crash{
 			Fingerprint: loss.Fingerprint, Path: loss.Path, Service: loss.Service, Instance: loss.Instance,
 		}})
-		g.suspect(now, loss)
+		g.addLocalCrash(now, loss)
 	}
-	g.index(now)
+	g.rebuildPaths(now)
 }
 
-func (g *Guard) suspect(now time.Duration, loss Loss) {
-	own, found := g.own[loss.Fingerprint]
+func (g *Guard) addLocalCrash(now time.Duration, loss Loss) {
+	local, found := g.localSuspects[loss.Fingerprint]
 	if !found {
-		if len(g.own) >= mostOwn {
+		if len(g.localSuspects) >= maxLocalSuspects {
 			return
 		}
-		own = &ownSuspect{path: loss.Path, instances: make(map[directory.InstanceID]bool)}
-		g.own[loss.Fingerprint] = own
+		local = &localSuspect{path: loss.Path, instances: make(map[directory.InstanceID]bool)}
+		g.localSuspects[loss.Fingerprint] = local
 	}
-	before := len(own.instances)
-	own.instances[loss.Instance] = true
-	own.lastAt = now
-	if before < g.crashes && len(own.instances) >= g.crashes {
-		own.enoughAt = now
+	before := len(local.instances)
+	local.instances[loss.Instance] = true
+	local.lastSeenAt = now
+	if before < g.crashThreshold && len(local.instances) >= g.crashThreshold {
+		local.thresholdAt = now
 	}
 }
 
-// Answered takes that an instance answered a request, and reports whether the leader is to be told.
+// Answered records that an instance answered a request, and reports whether the leader is to be told.
 func (g *Guard) Answered(now time.Duration, fingerprint directory.Fingerprint) bool {
 	if !g.Suspected(fingerprint) {
 		return false
 	}
-	delete(g.own, fingerprint)
-	g.index(now)
-	for _, each := range g.told {
-		if each.crash == nil && each.answered == fingerprint && !each.heard && now-each.at < retellPause {
+	delete(g.localSuspects, fingerprint)
+	g.rebuildPaths(now)
+	for _, o := range g.observations {
+		if o.crash == nil && o.answered == fingerprint && !o.acknowledged && now-o.at < reportRetryInterval {
 			return false
 		}
 	}
-	g.add(&observation{at: now, answered: fingerprint})
+	g.addObservation(&observation{at: now, answered: fingerprint})
 	return true
 }
 
-func (g *Guard) add(each *observation) {
-	if len(g.told) < mostTold {
-		g.told = append(g.told, each)
+func (g *Guard) addObservation(o *observation) {
+	if len(g.observations) < maxObservations {
+		g.observations = append(g.observations, o)
 	}
 }
 
-// Report returns what the leader is to be told now; false for nothing.
+// Report returns the next report to the leader, or false if there is nothing to report.
 func (g *Guard) Report(now time.Duration) (Report, bool) {
-	if len(g.own) > 0 {
-		g.index(now)
+	if len(g.localSuspects) > 0 {
+		g.rebuildPaths(now)
 	}
-	report := Report{Number: g.number + 1}
-	kept := g.told[:0]
-	for _, each := range g.told {
-		if now-each.at > toldTime && !g.needs(each) {
+	report := Report{Number: g.lastReport + 1}
+	kept := g.observations[:0]
+	for _, o := range g.observations {
+		if now-o.at > observationRetention && !g.keepsLocalSuspect(o) {
 			continue
 		}
-		kept = append(kept, each)
-		if each.heard || each.report > 0 && now-each.reportedAt < retellPause {
+		kept = append(kept, o)
+		if o.acknowledged || o.reportNumber > 0 && now-o.reportedAt < reportRetryInterval {
 			continue
 		}
-		each.report, each.reportedAt = report.Number, now
-		each.addTo(&report, now)
+		o.reportNumber, o.reportedAt = report.Number, now
+		o.addTo(&report, now)
 	}
-	clear(g.told[len(kept):])
-	g.told = kept
-	for fingerprint, known := range g.rejected {
-		if known.due {
-			known.due, known.toldAt = false, now
+	clear(g.observations[len(kept):])
+	g.observations = kept
+	for fingerprint, r := range g.rejections {
+		if r.reportDue {
+			r.reportDue, r.reportedAt = false, now
 			report.Rejected = append(report.Rejected, fingerprint)
 		}
 	}
 	if report.empty() {
 		return Report{}, false
 	}
-	g.number = report.Number
+	g.lastReport = report.Number
 	return report, true
 }
 
-// needs reports whether a crash keeps a request in quarantine here.
-func (g *Guard) needs(each *observation) bool {
-	if each.crash == nil {
+// keepsLocalSuspect reports whether the observation is a crash that keeps a request suspected locally.
+func (g *Guard) keepsLocalSuspect(o *observation) bool {
+	if o.crash == nil {
 		return false
 	}
-	own, found := g.own[each.crash.Fingerprint]
-	return found && own.instances[each.crash.Instance]
+	local, found := g.localSuspects[o.crash.Fingerprint]
+	return found && local.instances[o.crash.Instance]
 }
 
 func (o *observation) addTo(report *Report, now time.Duration) {
-	ago := uint32((now - o.at).Milliseconds())
+	agoMs := uint32((now - o.at).Milliseconds())
 	if o.crash == nil {
-		report.Answered = append(report.Answered, Answered{Fingerprint: o.answered, AgoMs: ago})
+		report.Answered = append(report.Answered, Answered{Fingerprint: o.answered, AgoMs: agoMs})
 		return
 	}
 	crash := *o.crash
-	crash.EndedAgoMs, crash.TookMs = ago, uint32(o.took.Milliseconds())
+	crash.EndedAgoMs, crash.TookMs = agoMs, uint32(o.inFlightFor.Milliseconds())
 	report.Crashes = append(report.Crashes, crash)
 }
 
-// Acknowledge takes the number of a report that the leader heard.
+// Acknowledge handles the leader's confirmation of the report with this number and of all earlier ones.
 func (g *Guard) Acknowledge(number uint64) {
-	for _, each := range g.told {
-		if each.heard || each.report == 0 || each.report > number {
+	for _, o := range g.observations {
+		if o.acknowledged || o.reportNumber == 0 || o.reportNumber > number {
 			continue
 		}
-		each.heard = true
-		if each.crash != nil {
-			g.disown(*each.crash)
+		o.acknowledged = true
+		if o.crash != nil {
+			g.dropLocalCrash(*o.crash)
 		}
 	}
 }
 
-// disown leaves a crash to the leader.
-func (g *Guard) disown(crash Crash) {
-	own, found := g.own[crash.Fingerprint]
+// dropLocalCrash removes a crash from the local suspects, because the leader counts it from now on.
+func (g *Guard) dropLocalCrash(crash Crash) {
+	local, found := g.localSuspects[crash.Fingerprint]
 	if !found {
 		return
 	}
-	delete(own.instances, crash.Instance)
-	if len(own.instances) == 0 {
-		delete(g.own, crash.Fingerprint)
+	delete(local.instances, crash.Instance)
+	if len(local.instances) == 0 {
+		delete(g.localSuspects, crash.Fingerprint)
 	}
 }
 
-// Connected takes that a leader was met anew: it may not have heard what an earlier one did.
+// Connected handles a connection to a possibly new leader, which may not know what was reported to an
+// earlier one: all observations are reported again.
 func (g *Guard) Connected() {
-	for _, each := range g.told {
-		each.heard, each.report = false, 0
+	for _, o := range g.observations {
+		o.acknowledged, o.reportNumber = false, 0
 	}
 }
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -8,131 +8,135 @@
 	"github.com/thorntiller/thorntiller/internal/directory"
 )
 
-// Config bounds what the leader decides.
+// Config holds the limits for the leader's decisions.
 type Config struct {
 	// Crashes is the number of instances after whose crashes a request is put in quarantine.
 	Crashes int
-	// SuspectTime is how long after a crash a request stays suspected, and Time how long it stays in
-	// quarantine after it came last.
+	// SuspectTime is how long a request stays suspected after its last crash was reported, and Time how long
+	// it stays in quarantine after it was last seen.
 	SuspectTime, Time time.Duration
 }
 
 const (
-	// grace is how long after the last crash that puts a request in quarantine an answer of it is
-	// waited for: a request that many callers' machines send was in flight elsewhere, too.
-	grace = 750 * time.Millisecond
-	// doubtfulGrace is the same for a request that was in flight at several instances when these crashed
-	// together: one that takes down an instance each time does so one by one, and if all have lost
-	// power nothing is answered before the first is back.
-	doubtfulGrace = 2 * time.Second
-	// mostSuspects bounds the suspected requests, mostQuarantined those in quarantine, and mostCrashes
-	// the crashes that are remembered of each.
-	mostSuspects    = 256
-	mostQuarantined = 256
-	mostCrashes     = 8
-	// mostTrials bounds the trials of a doubtful request, each of which may take down an instance. The
-	// first one comes at once, the next after nextTrial, counted from its quarantine.
-	mostTrials = 2
-	nextTrial  = 30 * time.Second
-	// trialTime is how long a process that may try a request has for it.
-	trialTime = 20 * time.Second
-	// rejectedLately is how long ago a process rejected a request at most that it may try.
-	rejectedLately = 10 * time.Second
-	// endsRemembered is how long instances that crashed are remembered.
-	endsRemembered = 2 * time.Minute
-	// aliveAfter is how long after its crash a heartbeat shows that an instance did not crash: one that
-	// it sent before may come seconds late.
-	aliveAfter = 5 * time.Second
-	// answersRemembered is how long answers are remembered, for crashes before them that are told
-	// later.
-	answersRemembered = time.Minute
+	// gracePeriod is how long the leader waits for an answer after the crash that reaches the threshold: a
+	// request that many clients send was in flight at other instances, too, and an answer there clears it.
+	gracePeriod = 750 * time.Millisecond
+	// doubtfulGracePeriod replaces gracePeriod for a request that was in flight at several instances which
+	// crashed together. A request that crashes every instance does so one after the other; instances that
+	// crash together have more likely lost power, and nothing is answered before the first of them is back.
+	doubtfulGracePeriod = 2 * time.Second
+	// maxSuspects limits the suspected requests, maxQuarantined those in quarantine, and maxCrashesPerRequest
+	// the crashes that are kept of each.
+	maxSuspects          = 256
+	maxQuarantined       = 256
+	maxCrashesPerRequest = 8
+	// maxTrials limits the trials of a doubtful request, since each may crash an instance. The first trial is
+	// allowed at once, the next one nextTrialDelay after the request was put in quarantine.
+	maxTrials      = 2
+	nextTrialDelay = 30 * time.Second
+	// trialTimeout is how long a process may use a trial that it was given.
+	trialTimeout = 20 * time.Second
+	// maxRejectionAge is how recently a process must have rejected a request to be given a trial of it.
+	maxRejectionAge = 10 * time.Second
+	// crashedInstanceRetention is how long crashed instances are remembered.
+	crashedInstanceRetention = 2 * time.Minute
+	// lateHeartbeatMargin is how long after the reported crash a heartbeat must arrive to prove that the
+	// instance did not crash: one sent before the crash may arrive seconds late.
+	lateHeartbeatMargin = 5 * time.Second
+	// answerRetention is how long answers are remembered, so that crashes before them that are reported later
+	// do not count.
+	answerRetention = time.Minute
 )
 
-// Ledger counts the crashes of requests over all gateways, and decides which are put in quarantine.
-// It belongs to the leading controller; what it decided is in force once it is in the replicated
-// directory.
+// Ledger counts the crashes of requests over all gateways and routers, and decides which requests are put
+// in quarantine. It runs in the leading controller; its decisions take effect once they are in the
+// replicated directory.
 type Ledger struct {
 	config  Config
 	entries map[directory.Fingerprint]*entry
-	// committed are the suspects of the directory, at a revision.
+	// committed are the suspects of the directory as far as known here, with the revision at which they were
+	// last adopted.
 	committed directory.Suspects
-	// ends are the instances that crashed lately, and answers the requests that were answered.
-	ends    map[directory.InstanceID]instanceEnd
-	answers map[directory.Fingerprint]time.Duration
-	events  []Event
+	// crashedInstances are the instances that crashed recently, and answeredAt has the time of the last answer
+	// of each request that was answered recently.
+	crashedInstances map[directory.InstanceID]instanceCrash
+	answeredAt       map[directory.Fingerprint]time.Duration
+	events           []Event
 }
 
-// entry is what the leader knows of a request.
+// entry is the leader's state of one request.
 type entry struct {
 	suspect directory.Suspect
-	// attempts are those that crashes ended, as far as this leader heard of them.
-	attempts []span
-	// suspectedAt is when its first crash was heard of, lastCrashAt when its last one was, and
-	// enoughAt when there were enough for a quarantine.
-	suspectedAt, lastCrashAt, enoughAt time.Duration
-	// quarantinedAt is when it was put in quarantine, and seenAt when it came last, at seenBy.
+	// attempts are the attempts ended by crashes, as far as they were reported to this leader.
+	attempts []interval
+	// suspectedAt is the time of its first crash, lastCrashAt when its last crash was reported, and
+	// thresholdAt when its crashes reached the threshold for a quarantine.
+	suspectedAt, lastCrashAt, thresholdAt time.Duration
+	// quarantinedAt is when it was put in quarantine, and seenAt when it was last seen, with seenBy the process
+	// that last rejected it.
 	quarantinedAt, seenAt time.Duration
 	seenBy                string
 	trialUntil            time.Duration
 }
 
-// span is a time during which an attempt was in flight.
-type span struct{ began, ended time.Duration }
+// interval is the time during which an attempt was in flight.
+type interval struct{ began, ended time.Duration }
 
-// overlaps reports whether two attempts were in flight together for half of the shorter one at least.
-// Reports take their time, so that attempts that followed each other may seem to have met.
-func (s span) overlaps(other span) bool {
-	together := min(s.ended, other.ended) - max(s.began, other.began)
-	return together > 0 && together >= min(s.ended-s.began, other.ended-other.began)/2
+// overlaps reports whether two attempts were in flight together for at least half of the shorter one. Any
+// overlap is not enough: reports are delayed, so that consecutive attempts may appear to overlap.
+func (i interval) overlaps(other interval) bool {
+	together := min(i.ended, other.ended) - max(i.began, other.began)
+	return together > 0 && together >= min(i.ended-i.began, other.ended-other.began)/2
 }
 
-type instanceEnd struct {
+type instanceCrash struct {
 	service string
 	at      time.Duration
 }
 
-// NewLedger returns a ledger that knows of no request.
+// NewLedger returns an empty ledger.
 func NewLedger(config Config) *Ledger {
 	return &Ledger{
 		config: config, entries: make(map[directory.Fingerprint]*entry),
-		ends: make(map[directory.InstanceID]instanceEnd), answers: make(map[directory.Fingerprint]time.Duration),
+		crashedInstances: make(map[directory.InstanceID]instanceCrash),
+		answeredAt:       make(map[directory.Fingerprint]time.Duration),
 	}
 }
 
-// Committed takes that the suspects of a decision are in force.
+// Committed records that a decision is in force.
 func (l *Ledger) Committed(put directory.PutSuspects) { l.committed.List = put.List }
 
-// Adopt takes the suspects of the directory where others than this ledger changed them: an earlier
-// leader, or an operator.
+// Adopt merges the suspects of the directory that were changed by others than this ledger: an earlier
+// leader or an operator.
 func (l *Ledger) Adopt(now time.Duration, current directory.Suspects) {
-	own := make(map[directory.Fingerprint]directory.Suspect, len(l.committed.List))
+	previous := make(map[directory.Fingerprint]directory.Suspect, len(l.committed.List))
 	for _, suspect := range l.committed.List {
-		own[suspect.Fingerprint] = suspect
+		previous[suspect.Fingerprint] = suspect
 	}
 	for _, suspect := range current.List {
-		if committed, found := own[suspect.Fingerprint]; found && committed.Same(suspect) {
+		if committed, found := previous[suspect.Fingerprint]; found && committed.Same(suspect) {
 			continue
 		}
-		if known, found := l.entries[suspect.Fingerprint]; found {
-			known.adopt(now, suspect)
+		if e, found := l.entries[suspect.Fingerprint]; found {
+			e.adopt(now, suspect)
 			continue
 		}
-		l.entries[suspect.Fingerprint] = adopted(now, suspect)
+		l.entries[suspect.Fingerprint] = newAdoptedEntry(now, suspect)
 	}
 	l.committed = current
 }
 
-// adopted returns an entry for a suspect of an earlier leader. Times count from now on: until when
-// they ran is not known.
-func adopted(now time.Duration, suspect directory.Suspect) *entry {
-	return &entry{suspect: suspect, suspectedAt: now, lastCrashAt: now, enoughAt: now, quarantinedAt: now, seenAt: now}
+// newAdoptedEntry returns an entry for a suspect from the directory. All its times start now, because the
+// directory does not hold the earlier ones.
+func newAdoptedEntry(now time.Duration, suspect directory.Suspect) *entry {
+	return &entry{suspect: suspect, suspectedAt: now, lastCrashAt: now, thresholdAt: now, quarantinedAt: now, seenAt: now}
 }
 
-// adopt joins what the directory has of a request with what gateways told this leader.
+// adopt merges the directory's state of a request with what was reported to this leader.
 func (e *entry) adopt(now time.Duration, suspect directory.Suspect) {
 	if suspect.Released && !e.suspect.Released {
-		// What was told before concerns the quarantine that ended.
-		*e = *adopted(now, suspect)
+		// Earlier reports concern the quarantine that has ended.
+		*e = *newAdoptedEntry(now, suspect)
 		return
 	}
 	for _, id := range e.suspect.Crashes {
@@ -144,63 +148,63 @@
 	e.suspect = suspect
 }
 
-// HandleReport takes the report of a gateway or router.
+// HandleReport handles the report of a gateway or router.
 func (l *Ledger) HandleReport(now time.Duration, process string, report Report) {
 	for _, answered := range report.Answered {
-		l.answered(now, now-milliseconds(answered.AgoMs), answered.Fingerprint)
+		l.handleAnswer(now, now-milliseconds(answered.AgoMs), answered.Fingerprint)
 	}
 	for _, crash := range report.Crashes {
-		l.crashed(now, crash)
+		l.handleCrash(now, crash)
 	}
 	for _, fingerprint := range report.Rejected {
-		if known, found := l.entries[fingerprint]; found {
-			known.seenAt, known.seenBy = now, process
+		if e, found := l.entries[fingerprint]; found {
+			e.seenAt, e.seenBy = now, process
 		}
 	}
 }
 
 func milliseconds(count uint32) time.Duration { return time.Duration(count) * time.Millisecond }
 
-// answered takes that an instance answered a request: it does not crash all that run it.
-func (l *Ledger) answered(now, at time.Duration, fingerprint directory.Fingerprint) {
-	l.answers[fingerprint] = max(at, l.answers[fingerprint])
-	known, found := l.entries[fingerprint]
+// handleAnswer clears a request that an instance answered: it does not crash every instance.
+func (l *Ledger) handleAnswer(now, at time.Duration, fingerprint directory.Fingerprint) {
+	l.answeredAt[fingerprint] = max(at, l.answeredAt[fingerprint])
+	e, found := l.entries[fingerprint]
 	if !found {
 		return
 	}
 	delete(l.entries, fingerprint)
-	l.tell(now, Cleared, known)
+	l.recordEvent(now, Cleared, e)
 }
 
-func (l *Ledger) crashed(now time.Duration, crash Crash) {
+func (l *Ledger) handleCrash(now time.Duration, crash Crash) {
 	ended := now - milliseconds(crash.EndedAgoMs)
-	l.ends[crash.Instance] = instanceEnd{service: crash.Service, at: ended}
-	if answeredAt, found := l.answers[crash.Fingerprint]; found && ended <= answeredAt {
+	l.crashedInstances[crash.Instance] = instanceCrash{service: crash.Service, at: ended}
+	if answeredAt, found := l.answeredAt[crash.Fingerprint]; found && ended <= answeredAt {
 		return
 	}
-	known, found := l.entries[crash.Fingerprint]
+	e, found := l.entries[crash.Fingerprint]
 	if !found {
-		known = &entry{
+		e = &entry{
 			suspect:     directory.Suspect{Fingerprint: crash.Fingerprint, Path: crash.Path, Service: crash.Service},
 			suspectedAt: ended, seenAt: now,
 		}
-		l.entries[crash.Fingerprint] = known
+		l.entries[crash.Fingerprint] = e
 	}
-	if slices.Contains(known.suspect.Crashes, crash.Instance) {
+	if slices.Contains(e.suspect.Crashes, crash.Instance) {
 		return
 	}
-	before := known.enough(l.config.Crashes)
-	known.crash(now, crash.Instance, span{ended - milliseconds(crash.TookMs), ended})
-	if !before && known.enough(l.config.Crashes) {
-		known.enoughAt = now
+	before := e.reachedThreshold(l.config.Crashes)
+	e.addCrash(now, crash.Instance, interval{ended - milliseconds(crash.TookMs), ended})
+	if !before && e.reachedThreshold(l.config.Crashes) {
+		e.thresholdAt = now
 	}
-	l.tell(now, Suspected, known)
+	l.recordEvent(now, Suspected, e)
 }
 
-// crash adds a crash to an entry. One during a trial tells that the request is to blame.
-func (e *entry) crash(now time.Duration, id directory.InstanceID, attempt span) {
+// addCrash adds a crash to an entry. A crash during a trial proves that the request causes the crashes.
+func (e *entry) addCrash(now time.Duration, id directory.InstanceID, attempt interval) {
 	e.lastCrashAt, e.seenAt = now, now
-	if len(e.suspect.Crashes) < mostCrashes {
+	if len(e.suspect.Crashes) < maxCrashesPerRequest {
 		e.suspect.Crashes = append(slices.Clone(e.suspect.Crashes), id)
 	}
 	for _, earlier := range e.attempts {
@@ -208,7 +212,7 @@
 			e.suspect.Doubtful = true
 		}
 	}
-	if len(e.attempts) < mostCrashes {
+	if len(e.attempts) < maxCrashesPerRequest {
 		e.attempts = append(e.attempts, attempt)
 	}
 	if e.suspect.Quarantined && e.suspect.TrialBy != "" {
@@ -216,160 +220,163 @@
 	}
 }
 
-// grace is how long an answer is waited for before the request goes into quarantine.
-func (e *entry) grace() time.Duration {
+// gracePeriod is how long to wait for an answer before the request is put in quarantine.
+func (e *entry) gracePeriod() time.Duration {
 	if e.suspect.Doubtful {
-		return doubtfulGrace
+		return doubtfulGracePeriod
 	}
-	return grace
+	return gracePeriod
 }
 
-// enough reports whether a request goes into quarantine.
-func (e *entry) enough(crashes int) bool {
+// reachedThreshold reports whether there are enough crashes for a quarantine. One reported crash is
+// enough after an operator released the request.
+func (e *entry) reachedThreshold(threshold int) bool {
 	if e.suspect.Released {
 		return len(e.attempts) > 0
 	}
-	return len(e.suspect.Crashes) >= crashes
+	return len(e.suspect.Crashes) >= threshold
 }
 
-// CrashedInstances returns the instances that crashed lately, as gateways told.
+// CrashedInstances returns the instances that crashed recently according to the reports.
 func (l *Ledger) CrashedInstances() []directory.InstanceID {
-	ids := make([]directory.InstanceID, 0, len(l.ends))
-	for id := range l.ends {
+	ids := make([]directory.InstanceID, 0, len(l.crashedInstances))
+	for id := range l.crashedInstances {
 		ids = append(ids, id)
 	}
 	return ids
 }
 
-// HandleHeartbeat takes when a heartbeat of an instance came last. One that is alive did not crash: a gateway
-// may have been refused connections by what stands between the two.
+// HandleHeartbeat takes the time of an instance's last heartbeat. An instance that is alive did not crash;
+// a gateway's connections may have been refused by a proxy or another device between the two.
 func (l *Ledger) HandleHeartbeat(now time.Duration, id directory.InstanceID, at time.Duration) {
-	end, found := l.ends[id]
-	if !found || at-end.at <= aliveAfter {
+	crash, found := l.crashedInstances[id]
+	if !found || at-crash.at <= lateHeartbeatMargin {
 		return
 	}
-	delete(l.ends, id)
-	for fingerprint, known := range l.entries {
-		position := slices.Index(known.suspect.Crashes, id)
+	delete(l.crashedInstances, id)
+	for fingerprint, e := range l.entries {
+		position := slices.Index(e.suspect.Crashes, id)
 		if position < 0 {
 			continue
 		}
-		known.suspect.Crashes = slices.Delete(slices.Clone(known.suspect.Crashes), position, position+1)
-		if len(known.suspect.Crashes) == 0 {
+		e.suspect.Crashes = slices.Delete(slices.Clone(e.suspect.Crashes), position, position+1)
+		if len(e.suspect.Crashes) == 0 {
 			delete(l.entries, fingerprint)
-			l.tell(now, Cleared, known)
+			l.recordEvent(now, Cleared, e)
 			continue
 		}
-		if known.suspect.Quarantined && !known.enough(l.config.Crashes) {
-			known.suspect.Quarantined, known.suspect.TrialBy = false, ""
-			l.tell(now, Cleared, known)
+		if e.suspect.Quarantined && !e.reachedThreshold(l.config.Crashes) {
+			e.suspect.Quarantined, e.suspect.TrialBy = false, ""
+			l.recordEvent(now, Cleared, e)
 		}
 	}
 }
 
-// Decide returns the suspects as they are to be, and whether the directory has others.
+// Decide returns the list of suspects to be written, and whether it differs from the directory's.
 func (l *Ledger) Decide(now time.Duration) (directory.PutSuspects, bool) {
 	l.expire(now)
-	for _, known := range l.entries {
-		l.decide(now, known)
+	for _, e := range l.entries {
+		l.decide(now, e)
 	}
 	l.evict(now)
 	list := make([]directory.Suspect, 0, len(l.entries))
-	for _, known := range l.entries {
-		list = append(list, known.suspect)
+	for _, e := range l.entries {
+		list = append(list, e.suspect)
 	}
 	slices.SortFunc(list, func(a, b directory.Suspect) int { return cmp.Compare(a.Fingerprint, b.Fingerprint) })
 	return directory.PutSuspects{List: list, Follows: l.committed.Revision}, !directory.SameSuspects(list, l.committed.List)
 }
 
-func (l *Ledger) decide(now time.Duration, known *entry) {
-	suspect := &known.suspect
+func (l *Ledger) decide(now time.Duration, e *entry) {
+	suspect := &e.suspect
 	switch {
-	case !suspect.Quarantined && known.enough(l.config.Crashes) && now-known.enoughAt >= known.grace():
+	case !suspect.Quarantined && e.reachedThreshold(l.config.Crashes) && now-e.thresholdAt >= e.gracePeriod():
 		suspect.Quarantined, suspect.Released = true, false
-		suspect.Doubtful = suspect.Doubtful || l.othersCrashed(known)
-		known.quarantinedAt, known.seenAt = now, now
-		l.tell(now, Quarantined, known)
-	case suspect.TrialBy != "" && now >= known.trialUntil:
+		suspect.Doubtful = suspect.Doubtful || l.othersCrashedAsOften(e)
+		e.quarantinedAt, e.seenAt = now, now
+		l.recordEvent(now, Quarantined, e)
+	case suspect.TrialBy != "" && now >= e.trialUntil:
 		suspect.TrialBy = ""
-	case known.mayBeTried(now):
+	case e.trialDue(now):
 		suspect.Trials++
-		suspect.TrialBy = known.seenBy
-		known.trialUntil = now + trialTime
-		l.tell(now, Tried, known)
+		suspect.TrialBy = e.seenBy
+		e.trialUntil = now + trialTimeout
+		l.recordEvent(now, Tried, e)
 	default:
 	}
 }
 
-// mayBeTried reports whether a process is to send a request in quarantine once.
-func (e *entry) mayBeTried(now time.Duration) bool {
+// trialDue reports whether a process is to be given a trial of a request in quarantine.
+func (e *entry) trialDue(now time.Duration) bool {
 	suspect := e.suspect
-	if !suspect.Quarantined || !suspect.Doubtful || suspect.TrialBy != "" || suspect.Trials >= mostTrials {
+	if !suspect.Quarantined || !suspect.Doubtful || suspect.TrialBy != "" || suspect.Trials >= maxTrials {
 		return false
 	}
-	due := suspect.Trials == 0 || now-e.quarantinedAt >= nextTrial
-	return due && e.seenBy != "" && now-e.seenAt <= rejectedLately
+	due := suspect.Trials == 0 || now-e.quarantinedAt >= nextTrialDelay
+	return due && e.seenBy != "" && now-e.seenAt <= maxRejectionAge
 }
 
-// othersCrashed reports whether as many instances of the service crashed without the request in
-// flight as with it, since it is suspected.
-func (l *Ledger) othersCrashed(known *entry) bool {
+// othersCrashedAsOften reports whether, since the request became suspected, at least as many instances of
+// the service crashed without the request in flight as with it.
+func (l *Ledger) othersCrashedAsOften(e *entry) bool {
 	others := 0
-	for id, end := range l.ends {
-		if end.service == known.suspect.Service && end.at >= known.suspectedAt-grace && !slices.Contains(known.suspect.Crashes, id) {
+	for id, crash := range l.crashedInstances {
+		if crash.service == e.suspect.Service && crash.at >= e.suspectedAt-gracePeriod &&
+			!slices.Contains(e.suspect.Crashes, id) {
 			others++
 		}
 	}
-	return others >= len(known.suspect.Crashes)
+	return others >= len(e.suspect.Crashes)
 }
 
-// expire forgets what is old.
+// expire removes entries, crashed instances and answers that are too old.
 func (l *Ledger) expire(now time.Duration) {
-	for fingerprint, known := range l.entries {
-		if !known.suspect.Quarantined && now-known.lastCrashAt > l.config.SuspectTime || known.suspect.Quarantined && now-known.seenAt > l.config.Time {
+	for fingerprint, e := range l.entries {
+		if !e.suspect.Quarantined && now-e.lastCrashAt > l.config.SuspectTime ||
+			e.suspect.Quarantined && now-e.seenAt > l.config.Time {
 			delete(l.entries, fingerprint)
-			l.tell(now, Expired, known)
+			l.recordEvent(now, Expired, e)
 		}
 	}
-	for id, end := range l.ends {
-		if now-end.at > endsRemembered {
-			delete(l.ends, id)
+	for id, crash := range l.crashedInstances {
+		if now-crash.at > crashedInstanceRetention {
+			delete(l.crashedInstances, id)
 		}
 	}
-	for fingerprint, at := range l.answers {
-		if now-at > answersRemembered {
-			delete(l.answers, fingerprint)
+	for fingerprint, at := range l.answeredAt {
+		if now-at > answerRetention {
+			delete(l.answeredAt, fingerprint)
 		}
 	}
 }
 
-// evict bounds the entries, those in quarantine apart from the others: many requests that are only
-// suspected must not end a quarantine.
+// evict limits the number of entries. Those in quarantine have their own limit, so that many requests that
+// are only suspected cannot end a quarantine.
 func (l *Ledger) evict(now time.Duration) {
 	var suspected, quarantined []*entry
-	for _, known := range l.entries {
-		if known.suspect.Quarantined {
-			quarantined = append(quarantined, known)
+	for _, e := range l.entries {
+		if e.suspect.Quarantined {
+			quarantined = append(quarantined, e)
 		} else {
-			suspected = append(suspected, known)
+			suspected = append(suspected, e)
 		}
 	}
-	l.evictBeyond(now, mostSuspects, suspected)
-	l.evictBeyond(now, mostQuarantined, quarantined)
+	l.evictExcess(now, maxSuspects, suspected)
+	l.evictExcess(now, maxQuarantined, quarantined)
 }
 
-// evictBeyond forgets the entries beyond a bound: first those that had the fewest crashes, then those
-// that came the longest time ago.
-func (l *Ledger) evictBeyond(now time.Duration, bound int, entries []*entry) {
-	if len(entries) <= bound {
+// evictExcess removes entries beyond a limit: first those with the fewest crashes, among these the ones
+// seen longest ago.
+func (l *Ledger) evictExcess(now time.Duration, limit int, entries []*entry) {
+	if len(entries) <= limit {
 		return
 	}
 	slices.SortFunc(entries, func(a, b *entry) int {
 		return cmp.Or(cmp.Compare(len(a.suspect.Crashes), len(b.suspect.Crashes)), cmp.Compare(a.seenAt, b.seenAt),
 			cmp.Compare(a.suspect.Fingerprint, b.suspect.Fingerprint))
 	})
-	for _, known := range entries[:len(entries)-bound] {
-		delete(l.entries, known.suspect.Fingerprint)
-		l.tell(now, Evicted, known)
+	for _, e := range entries[:len(entries)-limit] {
+		delete(l.entries, e.suspect.Fingerprint)
+		l.recordEvent(now, Evicted, e)
 	}
 }
--- a/internal/quarantine/model_test.go
+++ b/internal/quarantine/model_test.go
@@ -9,85 +9,86 @@
 	"github.com/thorntiller/thorntiller/internal/directory"
 )
 
-// The model has gateways, servers, a leader and the directory that the controllers replicate, under a
-// virtual clock. One request crashes each server that runs it; one poll is sent again and again by the
-// same caller; all others come once.
+// The model consists of gateways, servers, a leader and the replicated directory under a virtual clock. One
+// request (poison) crashes each server that runs it; one harmless request (poll) is sent repeatedly by the
+// same caller; all other requests are sent once.
 
 const (
-	step         = 5 * time.Millisecond
-	contactTime  = 3 * time.Second
-	mostRepeats  = 3
-	modelCrashes = 3
-	deadly       = directory.Fingerprint(1)
-	poll         = directory.Fingerprint(2)
+	step                = 5 * time.Millisecond
+	settleTime          = 3 * time.Second
+	maxLateArrivals     = 3
+	modelCrashThreshold = 3
+	poison              = directory.Fingerprint(1)
+	poll                = directory.Fingerprint(2)
 )
 
-// way is how crashes are counted.
-type way int
+// countingRule selects how crashes are attributed to requests.
+type countingRule int
 
 const (
-	// asBuilt: over all gateways, in flight at distinct crashes since the last answer.
-	asBuilt way = iota
-	// beganLast blames at each crash only the request that began last.
-	beganLast
-	// withoutAnswers never clears a request.
-	withoutAnswers
-	// eachGatewayAlone has no leader.
-	eachGatewayAlone
+	// production is the rule of the package: a request is counted over all gateways for each distinct instance
+	// that crashed while it was in flight, since its last answer.
+	production countingRule = iota
+	// blameNewest counts at each crash only the request that was sent last.
+	blameNewest
+	// ignoreAnswers never clears a request.
+	ignoreAnswers
+	// countPerGateway has no leader: each gateway counts alone.
+	countPerGateway
 )
 
-// disruptions of a play.
-type disruptions struct {
-	// servers crash by themselves each so often; zones of them, or all, lose power; zero for never.
+// faultIntervals are the mean times between two faults of each kind; zero for none.
+type faultIntervals struct {
+	// crash of a single server; loss of power of a zone or of all servers.
 	crash, zone, all time.Duration
-	// leaders change, gateways start anew, all controllers and gateways lose power, and the leader
-	// is silent for a second.
+	// change of the leader; restart of a gateway; loss of power of all controllers and gateways; a second during
+	// which the leader handles no reports.
 	leader, gateway, power, silence time.Duration
 }
 
-type play struct {
-	way      way
+type scenario struct {
+	rule     countingRule
 	gateways int
 	servers  int
-	// repeat is the time between two sends of the deadly request, parallel how many are sent at once.
-	repeat      time.Duration
-	parallel    int
-	disruptions disruptions
-	length      time.Duration
-	random      *rand.Rand
+	// poisonInterval is the time between two sends of the poison request, poisonBatch how many are sent at once.
+	poisonInterval time.Duration
+	poisonBatch    int
+	faults         faultIntervals
+	duration       time.Duration
+	random         *rand.Rand
 }
 
-type outcome struct {
-	// crashes were by the deadly request, of which arrivals reached servers by gateways in touch
-	// later than contactTime after the third one.
-	crashes, arrivals int
-	// polls and others were sent, and pollsRejected and othersRejected were in quarantine though a
-	// server was up.
+type result struct {
+	// crashes were caused by the poison request. lateArrivals are its sends to servers, more than settleTime
+	// after the third crash, by gateways that were settled.
+	crashes, lateArrivals int
+	// polls and others count the requests sent, pollsRejected and othersRejected those that were rejected as
+	// quarantined while a server was up.
 	polls, others, pollsRejected, othersRejected int
 }
 
 type modelServer struct {
-	id     directory.InstanceID
-	zone   int
-	life   int
-	up     bool
-	backAt time.Duration
-	flying []*flight
+	id          directory.InstanceID
+	zone        int
+	incarnation int
+	up          bool
+	restartAt   time.Duration
+	inFlight    []*attempt
 }
 
-type flight struct {
-	fingerprint directory.Fingerprint
-	gateway     int
-	began, ends time.Duration
-	trial       bool
+type attempt struct {
+	fingerprint   directory.Fingerprint
+	gateway       int
+	began, endsAt time.Duration
+	trial         bool
 }
 
 type modelGateway struct {
 	guard     *Guard
 	startedAt time.Duration
-	// tableAt is when the newest list that is on its way arrives.
-	pending []delayed[directory.Suspects]
-	seen    directory.Revision
+	// pending are the lists of suspects that are on their way to the gateway.
+	pending      []delayed[directory.Suspects]
+	seenRevision directory.Revision
 }
 
 type delayed[T any] struct {
@@ -95,83 +96,83 @@
 	content T
 }
 
-type reportOf struct {
+type sentReport struct {
 	gateway int
 	term    int
 	report  Report
 }
 
 type model struct {
-	play
-	now       time.Duration
-	gateways  []*modelGateway
-	servers   []*modelServer
-	ledger    *Ledger
-	term      int
-	directory *directory.Directory
-	revision  directory.Revision
-	reports   []delayed[reportOf]
-	confirms  []delayed[func()]
-	proposal  *delayed[directory.PutSuspects]
-	silentTo  time.Duration
-	calmSince time.Duration
-	third     time.Duration
-	nextOther directory.Fingerprint
-	outcome   outcome
+	scenario
+	now               time.Duration
+	gateways          []*modelGateway
+	servers           []*modelServer
+	ledger            *Ledger
+	term              int
+	directory         *directory.Directory
+	revision          directory.Revision
+	reports           []delayed[sentReport]
+	lossNotices       []delayed[func()]
+	proposal          *delayed[directory.PutSuspects]
+	leaderSilentUntil time.Duration
+	stableSince       time.Duration
+	thirdCrashAt      time.Duration
+	nextOther         directory.Fingerprint
+	result            result
 }
 
-func (p play) run() outcome {
-	m := &model{play: p, directory: directory.New(), nextOther: 1000}
-	for range p.gateways {
+func (s scenario) run() result {
+	m := &model{scenario: s, directory: directory.New(), nextOther: 1000}
+	for range s.gateways {
 		m.gateways = append(m.gateways, &modelGateway{})
 	}
 	for number := range m.gateways {
 		m.startGateway(number)
 	}
-	for number := range p.servers {
-		m.servers = append(m.servers, &modelServer{id: directory.InstanceID(fmt.Sprintf("s%d-1", number)), zone: number % 3, life: 1, up: true})
+	for number := range s.servers {
+		m.servers = append(m.servers, &modelServer{id: directory.InstanceID(fmt.Sprintf("s%d-1", number)), zone: number % 3, incarnation: 1, up: true})
 	}
 	m.newLeader()
-	for ; m.now < p.length; m.now += step {
-		m.disrupt()
-		m.deliver()
+	for ; m.now < s.duration; m.now += step {
+		m.injectFaults()
+		m.deliverMessages()
 		m.decide()
 		m.send()
-		m.finish()
+		m.finishAttempts()
 	}
-	return m.outcome
+	return m.result
 }
 
 func (m *model) startGateway(number int) {
 	gateway := m.gateways[number]
 	crashes := 1 << 20
-	if m.way == eachGatewayAlone {
-		crashes = modelCrashes
+	if m.rule == countPerGateway {
+		crashes = modelCrashThreshold
 	}
 	*gateway = modelGateway{guard: NewGuard(fmt.Sprintf("g%d", number), crashes), startedAt: m.now}
 }
 
 func (m *model) newLeader() {
 	m.term++
-	m.calmSince = m.now
+	m.stableSince = m.now
 	m.proposal = nil
-	m.ledger = NewLedger(Config{Crashes: modelCrashes, SuspectTime: 10 * time.Minute, Time: 24 * time.Hour})
+	m.ledger = NewLedger(Config{Crashes: modelCrashThreshold, SuspectTime: 10 * time.Minute, Time: 24 * time.Hour})
 	for _, gateway := range m.gateways {
 		gateway.guard.Connected()
 	}
 }
 
-// happens is true once in an interval in the mean.
-func (m *model) happens(interval time.Duration) bool {
+// occurs returns true once per interval on average.
+func (m *model) occurs(interval time.Duration) bool {
 	return interval > 0 && m.random.Float64() < float64(step)/float64(interval)
 }
 
-func (m *model) disrupt() {
-	d := m.disruptions
-	if m.happens(d.crash) {
+func (m *model) injectFaults() {
+	intervals := m.faults
+	if m.occurs(intervals.crash) {
 		m.crash(m.servers[m.random.IntN(len(m.servers))])
 	}
-	if m.happens(d.zone) {
+	if m.occurs(intervals.zone) {
 		zone := m.random.IntN(3)
 		for _, server := range m.servers {
 			if server.zone == zone {
@@ -179,77 +180,77 @@
 			}
 		}
 	}
-	if m.happens(d.all) {
+	if m.occurs(intervals.all) {
 		for _, server := range m.servers {
 			m.crash(server)
 		}
 	}
-	if m.happens(d.leader) {
+	if m.occurs(intervals.leader) {
 		m.newLeader()
 	}
-	if m.happens(d.gateway) {
+	if m.occurs(intervals.gateway) {
 		m.startGateway(m.random.IntN(len(m.gateways)))
 	}
-	if m.happens(d.silence) {
-		m.silentTo, m.calmSince = m.now+time.Second, m.now+time.Second
+	if m.occurs(intervals.silence) {
+		m.leaderSilentUntil, m.stableSince = m.now+time.Second, m.now+time.Second
 	}
-	if m.happens(d.power) {
+	if m.occurs(intervals.power) {
 		for number := range m.gateways {
 			m.startGateway(number)
 		}
 		m.newLeader()
 	}
 	for _, server := range m.servers {
-		if !server.up && m.now >= server.backAt {
-			server.life++
-			server.id = directory.InstanceID(fmt.Sprintf("%s-%d", server.id[:len(server.id)-2], server.life%10))
+		if !server.up && m.now >= server.restartAt {
+			server.incarnation++
+			server.id = directory.InstanceID(fmt.Sprintf("%s-%d", server.id[:len(server.id)-2], server.incarnation%10))
 			server.up = true
 		}
 	}
 }
 
-// crash ends a server; the gateways find out a little later.
+// crash stops a server; its gateways learn of it within 30 ms.
 func (m *model) crash(server *modelServer) {
 	if !server.up {
 		return
 	}
 	server.up = false
-	server.backAt = m.now + time.Second + time.Duration(m.random.Int64N(int64(4*time.Second)))
-	lost := server.flying
-	server.flying = nil
-	last := time.Duration(-1)
-	for _, each := range lost {
-		last = max(last, each.began)
-	}
-	for _, each := range lost {
-		if m.way == beganLast && each.began != last {
+	server.restartAt = m.now + time.Second + time.Duration(m.random.Int64N(int64(4*time.Second)))
+	lostAttempts := server.inFlight
+	server.inFlight = nil
+	newest := time.Duration(-1)
+	for _, a := range lostAttempts {
+		newest = max(newest, a.began)
+	}
+	for _, a := range lostAttempts {
+		if m.rule == blameNewest && a.began != newest {
 			continue
 		}
-		gateway := m.gateways[each.gateway]
-		loss := Loss{Fingerprint: each.fingerprint, Path: directory.PathHash(each.fingerprint), Service: "s", Instance: server.id, Began: each.began, Ended: m.now}
-		m.confirms = append(m.confirms, delayed[func()]{m.now + time.Duration(m.random.Int64N(int64(30*time.Millisecond))), func() {
+		gateway := m.gateways[a.gateway]
+		loss := Loss{Fingerprint: a.fingerprint, Path: directory.PathHash(a.fingerprint), Service: "s", Instance: server.id, Began: a.began, Ended: m.now}
+		m.lossNotices = append(m.lossNotices, delayed[func()]{m.now + time.Duration(m.random.Int64N(int64(30*time.Millisecond))), func() {
 			gateway.guard.Crashed(m.now, []Loss{loss})
 		}})
 	}
 }
 
-func (m *model) deliver() {
-	due := m.confirms
-	m.confirms = nil
-	for _, each := range due {
-		if each.at <= m.now {
-			each.content()
+func (m *model) deliverMessages() {
+	due := m.lossNotices
+	m.lossNotices = nil
+	for _, notice := range due {
+		if notice.at <= m.now {
+			notice.content()
 		} else {
-			m.confirms = append(m.confirms, each)
+			m.lossNotices = append(m.lossNotices, notice)
 		}
 	}
 	for number, gateway := range m.gateways {
-		if report, found := gateway.guard.Report(m.now); found && m.way != eachGatewayAlone {
+		if report, found := gateway.guard.Report(m.now); found && m.rule != countPerGateway {
 			delay := time.Duration(m.random.Int64N(int64(50 * time.Millisecond)))
-			m.reports = append(m.reports, delayed[reportOf]{m.now + delay, reportOf{number, m.term, report}})
+			m.reports = append(m.reports, delayed[sentReport]{m.now + delay, sentReport{number, m.term, report}})
 		}
-		if current := m.directory.Suspects(); current.Revision > gateway.seen {
-			gateway.seen = current.Revision
+		if current := m.directory.Suspects(); current.Revision > gateway.seenRevision {
+			gateway.seenRevision = current.Revision
 			gateway.pending = append(gateway.pending, delayed[directory.Suspects]{m.now + time.Duration(m.random.Int64N(int64(150*time.Millisecond))), current})
 		}
 		for len(gateway.pending) > 0 && gateway.pending[0].at <= m.now {
@@ -259,20 +260,20 @@
 	}
 	reports := m.reports
 	m.reports = nil
-	for _, each := range reports {
+	for _, sent := range reports {
 		switch {
-		case each.at > m.now:
-			m.reports = append(m.reports, each)
-		case each.content.term == m.term && m.now >= m.silentTo:
-			m.ledger.HandleReport(m.now, fmt.Sprintf("g%d", each.content.gateway), each.content.report)
-			m.gateways[each.content.gateway].guard.Acknowledge(each.content.report.Number)
+		case sent.at > m.now:
+			m.reports = append(m.reports, sent)
+		case sent.content.term == m.term && m.now >= m.leaderSilentUntil:
+			m.ledger.HandleReport(m.now, fmt.Sprintf("g%d", sent.content.gateway), sent.content.report)
+			m.gateways[sent.content.gateway].guard.Acknowledge(sent.content.report.Number)
 		default:
 		}
 	}
 }
 
 func (m *model) decide() {
-	if m.now < m.silentTo {
+	if m.now < m.leaderSilentUntil {
 		return
 	}
 	if m.proposal != nil {
@@ -292,24 +293,24 @@
 }
 
 func (m *model) send() {
-	if m.now%m.repeat < step {
-		for range m.parallel {
-			m.request(deadly)
+	if m.now%m.poisonInterval < step {
+		for range m.poisonBatch {
+			m.sendRequest(poison)
 		}
 	}
 	if m.now%(30*time.Millisecond) < step {
-		m.request(poll)
-		m.outcome.polls++
+		m.sendRequest(poll)
+		m.result.polls++
 	}
 	if m.now%(15*time.Millisecond) < step {
 		m.nextOther++
-		m.request(m.nextOther)
-		m.outcome.others++
+		m.sendRequest(m.nextOther)
+		m.result.others++
 	}
 }
 
-// request sends a request by one gateway to a server that is up.
-func (m *model) request(fingerprint directory.Fingerprint) {
+// sendRequest sends a request from a random gateway to a random server that is up.
+func (m *model) sendRequest(fingerprint directory.Fingerprint) {
 	number := m.random.IntN(len(m.gateways))
 	gateway := m.gateways[number]
 	var up []*modelServer
@@ -325,11 +326,11 @@
 		if verdict != Send && !trial {
 			gateway.guard.Rejected(m.now, fingerprint)
 			switch {
-			case fingerprint == deadly || len(up) == 0:
+			case fingerprint == poison || len(up) == 0:
 			case fingerprint == poll:
-				m.outcome.pollsRejected++
+				m.result.pollsRejected++
 			default:
-				m.outcome.othersRejected++
+				m.result.othersRejected++
 			}
 			return
 		}
@@ -342,81 +343,86 @@
 	}
 	server := up[m.random.IntN(len(up))]
 	took := 10*time.Millisecond + time.Duration(m.random.Int64N(int64(100*time.Millisecond)))
-	server.flying = append(server.flying, &flight{fingerprint: fingerprint, gateway: number, began: m.now, ends: m.now + took, trial: trial})
-	if fingerprint == deadly && m.third > 0 && m.now > m.third+contactTime && m.inTouch(gateway) {
-		m.outcome.arrivals++
+	server.inFlight = append(server.inFlight, &attempt{fingerprint: fingerprint, gateway: number, began: m.now, endsAt: m.now + took, trial: trial})
+	if fingerprint == poison && m.thirdCrashAt > 0 && m.now > m.thirdCrashAt+settleTime && m.settled(gateway) {
+		m.result.lateArrivals++
 	}
 }
 
-func (m *model) inTouch(gateway *modelGateway) bool {
-	return m.now-m.calmSince >= contactTime && m.now-gateway.startedAt >= contactTime
+// settled reports whether neither the leader nor the gateway was disturbed within the last settleTime.
+func (m *model) settled(gateway *modelGateway) bool {
+	return m.now-m.stableSince >= settleTime && m.now-gateway.startedAt >= settleTime
 }
 
-func (m *model) finish() {
+func (m *model) finishAttempts() {
 	for _, server := range m.servers {
-		var flying []*flight
+		var unfinished []*attempt
 		crashes := false
-		for _, each := range server.flying {
+		for _, a := range server.inFlight {
 			switch {
-			case each.ends > m.now:
-				flying = append(flying, each)
-			case each.fingerprint == deadly:
+			case a.endsAt > m.now:
+				unfinished = append(unfinished, a)
+			case a.fingerprint == poison:
 				crashes = true
-				flying = append(flying, each)
+				unfinished = append(unfinished, a)
 			default:
-				if m.way != withoutAnswers {
-					m.gateways[each.gateway].guard.Answered(m.now, each.fingerprint)
+				if m.rule != ignoreAnswers {
+					m.gateways[a.gateway].guard.Answered(m.now, a.fingerprint)
 				}
 			}
 		}
-		server.flying = flying
+		server.inFlight = unfinished
 		if crashes {
 			m.crash(server)
-			m.outcome.crashes++
-			if m.outcome.crashes == modelCrashes {
-				m.third = m.now
+			m.result.crashes++
+			if m.result.crashes == modelCrashThreshold {
+				m.thirdCrashAt = m.now
 			}
 		}
 	}
 }
 
-// plays returns a play for each kind of disruption, and of all together.
-func plays(random *rand.Rand) map[string]play {
-	base := play{gateways: 2 + random.IntN(9), servers: 6 + random.IntN(18), repeat: 250 * time.Millisecond, parallel: 1, length: 30 * time.Second, random: random}
-	with := func(change func(*play)) play {
+// scenarios returns a scenario for each kind of fault, and one for all kinds together.
+func scenarios(random *rand.Rand) map[string]scenario {
+	base := scenario{
+		gateways: 2 + random.IntN(9), servers: 6 + random.IntN(18),
+		poisonInterval: 250 * time.Millisecond, poisonBatch: 1, duration: 30 * time.Second, random: random,
+	}
+	with := func(change func(*scenario)) scenario {
 		changed := base
 		change(&changed)
 		return changed
 	}
-	return map[string]play{
+	return map[string]scenario{
 		"calm":                  base,
-		"repeats each 4 s":      with(func(p *play) { p.repeat = 4 * time.Second; p.length = time.Minute }),
-		"three repeats at once": with(func(p *play) { p.repeat = 4 * time.Second; p.parallel = 3; p.length = time.Minute }),
-		"servers crash":         with(func(p *play) { p.disruptions.crash = time.Second }),
-		"zones lose power":      with(func(p *play) { p.disruptions.zone = 4 * time.Second }),
-		"leaders change":        with(func(p *play) { p.disruptions.leader = 2 * time.Second }),
-		"gateways start anew":   with(func(p *play) { p.disruptions.gateway = time.Second }),
-		"the leader is silent":  with(func(p *play) { p.disruptions.silence = 3 * time.Second }),
-		"power is lost":         with(func(p *play) { p.disruptions.power = 5 * time.Second }),
-		"everything, repeats of 1 s": with(func(p *play) {
-			p.repeat, p.length = time.Second, time.Minute
-			p.disruptions = disruptions{crash: 2 * time.Second, zone: 9 * time.Second, leader: 7 * time.Second, gateway: 3 * time.Second, power: 20 * time.Second, silence: 9 * time.Second}
+		"repeats every 4 s":     with(func(p *scenario) { p.poisonInterval = 4 * time.Second; p.duration = time.Minute }),
+		"three repeats at once": with(func(p *scenario) { p.poisonInterval = 4 * time.Second; p.poisonBatch = 3; p.duration = time.Minute }),
+		"servers crash":         with(func(p *scenario) { p.faults.crash = time.Second }),
+		"zones lose power":      with(func(p *scenario) { p.faults.zone = 4 * time.Second }),
+		"leaders change":        with(func(p *scenario) { p.faults.leader = 2 * time.Second }),
+		"gateways restart":      with(func(p *scenario) { p.faults.gateway = time.Second }),
+		"the leader is silent":  with(func(p *scenario) { p.faults.silence = 3 * time.Second }),
+		"power is lost":         with(func(p *scenario) { p.faults.power = 5 * time.Second }),
+		"everything, repeats of 1 s": with(func(p *scenario) {
+			p.poisonInterval, p.duration = time.Second, time.Minute
+			p.faults = faultIntervals{crash: 2 * time.Second, zone: 9 * time.Second, leader: 7 * time.Second, gateway: 3 * time.Second, power: 20 * time.Second, silence: 9 * time.Second}
 		}),
 	}
 }
 
 const modelSeeds = 20
 
-// TestDeadlyRequestReachesFewServers: over all gateways, in touch, whatever else fails; and requests
-// that were in flight at many crashes are never in quarantine.
+// TestDeadlyRequestReachesFewServers: whatever else fails, settled gateways together send the poison request
+// to few servers after its third crash, and harmless requests that were in flight at many crashes are never
+// in quarantine.
 func TestDeadlyRequestReachesFewServers(t *testing.T) {
 	for seed := range uint64(modelSeeds) {
-		for name, each := range plays(rand.New(rand.NewPCG(seed, 0))) {
-			each.random, each.way = rand.New(rand.NewPCG(seed, 1)), asBuilt
-			got := each.run()
-			if got.arrivals > mostRepeats {
+		for name, s := range scenarios(rand.New(rand.NewPCG(seed, 0))) {
+			s.random, s.rule = rand.New(rand.NewPCG(seed, 1)), production
+			got := s.run()
+			if got.lateArrivals > maxLateArrivals {
 				t.Errorf("seed %d, %s: %d requests reached servers later than %s after the third crash, want %d at most (%d crashes)",
-					seed, name, got.arrivals, contactTime, mostRepeats, got.crashes)
+					seed, name, got.lateArrivals, settleTime, maxLateArrivals, got.crashes)
 			}
 			if got.pollsRejected+got.othersRejected > 0 {
 				t.Errorf("seed %d, %s: %d of %d polls and %d of %d others in quarantine", seed, name, got.pollsRejected, got.polls, got.othersRejected, got.others)
@@ -425,38 +431,40 @@
 	}
 }
 
-// sum plays some seeds of everything in one way, and returns the most arrivals of one play and the sums
-// of all.
-func sum(way way) (most int, total outcome) {
+// runScenarios runs all scenarios for a few seeds under one rule, and returns the largest number of late
+// arrivals of a single run and the total of rejected polls.
+func runScenarios(rule countingRule) (most int, total result) {
 	const seeds = 2
 	for seed := range uint64(seeds) {
-		for _, each := range plays(rand.New(rand.NewPCG(seed, 0))) {
-			each.random, each.way = rand.New(rand.NewPCG(seed, 1)), way
-			got := each.run()
-			most = max(most, got.arrivals)
+		for _, s := range scenarios(rand.New(rand.NewPCG(seed, 0))) {
+			s.random, s.rule = rand.New(rand.NewPCG(seed, 1)), rule
+			got := s.run()
+			most = max(most, got.lateArrivals)
 			total.pollsRejected += got.pollsRejected
 		}
 	}
 	return most, total
 }
 
-// TestModelCatchesGatewaysThatCountAlone: the bound is over all gateways.
+// TestModelCatchesGatewaysThatCountAlone: the model must exceed the bound if each gateway counts alone.
 func TestModelCatchesGatewaysThatCountAlone(t *testing.T) {
-	if most, _ := sum(eachGatewayAlone); most <= mostRepeats {
-		t.Errorf("%d requests at most reached servers by gateways that count alone: the model shows no fault", most)
+	if most, _ := runScenarios(countPerGateway); most <= maxLateArrivals {
+		t.Errorf("at most %d late arrivals though each gateway counts alone: the model does not detect this", most)
 	}
 }
 
-// TestModelCatchesBlameOfTheLastRequest: the request that began last at a server may be another one.
+// TestModelCatchesBlameOfTheLastRequest: blaming only the request sent last must fail, since that may be a
+// harmless one.
 func TestModelCatchesBlameOfTheLastRequest(t *testing.T) {
-	if most, _ := sum(beganLast); most <= mostRepeats {
-		t.Errorf("%d requests at most reached servers where the last request is blamed: the model shows no fault", most)
+	if most, _ := runScenarios(blameNewest); most <= maxLateArrivals {
+		t.Errorf("at most %d late arrivals though only the last request is blamed: the model does not detect this", most)
 	}
 }
 
-// TestModelCatchesRequestsThatAreNeverCleared: an answer shows that a request is not to blame.
+// TestModelCatchesRequestsThatAreNeverCleared: without the rule that an answer clears a request, harmless
+// requests must end up in quarantine.
 func TestModelCatchesRequestsThatAreNeverCleared(t *testing.T) {
-	if _, total := sum(withoutAnswers); total.pollsRejected == 0 {
-		t.Error("no request was in quarantine by mistake where answers do not count: the model shows no fault")
+	if _, total := runScenarios(ignoreAnswers); total.pollsRejected == 0 {
+		t.Error("no harmless request in quarantine though answers do not count: the model does not detect this")
 	}
 }
--- a/internal/quarantine/witness.go
+++ b/internal/quarantine/witness.go
@@ -6,96 +6,95 @@
 	"github.com/thorntiller/thorntiller/internal/directory"
 )
 
-// Loss is an attempt that ended without an answer of its instance.
+// Loss is an attempt that ended without an answer from its instance.
 type Loss struct {
 	Fingerprint directory.Fingerprint
 	Path        directory.PathHash
 	Service     string
 	Instance    directory.InstanceID
-	// RequestID is the caller's identifier of the attempt, for log lines.
+	// RequestID is the caller's request identifier, for log lines.
 	RequestID string
-	// Began and Ended are when the attempt was sent and lost.
+	// Began is when the attempt was sent, Ended when it was given up.
 	Began, Ended time.Duration
 }
 
 const (
-	// confirmTime is how long after a loss its instance is waited for to prove that it ended.
-	confirmTime = 5 * time.Second
-	// endedTime is how long an instance that ended is remembered: attempts that were sent to it
-	// before may be given up later.
-	endedTime = 30 * time.Second
-	// expireInterval is the time between two looks for what is too old.
+	// confirmTimeout is how long after a loss a proof that its instance has ended is accepted.
+	confirmTimeout = 5 * time.Second
+	// endedRetention is how long an ended instance is remembered, since attempts sent to it before may be
+	// given up later.
+	endedRetention = 30 * time.Second
+	// expireInterval is the minimum time between two expiry runs.
 	expireInterval = 500 * time.Millisecond
-	// mostLosses bounds the losses that wait for a proof.
-	mostLosses = 1024
+	// maxPendingLosses limits the losses that wait for a proof; further ones are dropped.
+	maxPendingLosses = 1024
 )
 
-// CrashDetector tells crashes of instances from lost connections. Identifiers name incarnations, so that
-// an instance ends once.
+// CrashDetector distinguishes crashes of instances from mere connection losses. An identifier names one
+// incarnation of an instance, so that it ends only once.
 type CrashDetector struct {
-	losses map[directory.InstanceID][]Loss
-	count  int
-	ended  map[directory.InstanceID]time.Duration
-	// expiredAt is when what is too old was looked for last.
-	expiredAt time.Duration
+	losses    map[directory.InstanceID][]Loss
+	lossCount int
+	ended     map[directory.InstanceID]time.Duration
+	// lastExpiry is when expired state was last removed.
+	lastExpiry time.Duration
 }
 
-// NewCrashDetector returns a witness that has seen nothing.
+// NewCrashDetector returns a detector without state.
 func NewCrashDetector() *CrashDetector {
 	return &CrashDetector{losses: make(map[directory.InstanceID][]Loss), ended: make(map[directory.InstanceID]time.Duration)}
 }
 
-// Lost takes a loss, and returns those that are now known to be of a crash.
-func (w *CrashDetector) Lost(now time.Duration, loss Loss) []Loss {
-	w.expire(now)
-	if _, ended := w.ended[loss.Instance]; ended {
+// Lost records a loss. It returns the loss if its instance is already known to have ended.
+func (d *CrashDetector) Lost(now time.Duration, loss Loss) []Loss {
+	d.expire(now)
+	if _, ended := d.ended[loss.Instance]; ended {
 		return []Loss{loss}
 	}
-	if w.count < mostLosses {
-		w.losses[loss.Instance] = append(w.losses[loss.Instance], loss)
-		w.count++
+	if d.lossCount < maxPendingLosses {
+		d.losses[loss.Instance] = append(d.losses[loss.Instance], loss)
+		d.lossCount++
 	}
 	return nil
 }
 
-// Ended takes a proof that the process of an instance ended, and returns the losses that this
-// explains.
-func (w *CrashDetector) Ended(now time.Duration, id directory.InstanceID) []Loss {
-	w.expire(now)
-	w.ended[id] = now
-	return w.take(id)
+// Ended records a proof that the process of an instance has ended, and returns the losses at that instance.
+func (d *CrashDetector) Ended(now time.Duration, id directory.InstanceID) []Loss {
+	d.expire(now)
+	d.ended[id] = now
+	return d.removeLosses(id)
 }
 
-// Waiting returns the instances of which losses wait for a proof.
-func (w *CrashDetector) Waiting() []directory.InstanceID {
-	waiting := make([]directory.InstanceID, 0, len(w.losses))
-	for id := range w.losses {
+// Waiting returns the instances with losses that wait for a proof.
+func (d *CrashDetector) Waiting() []directory.InstanceID {
+	waiting := make([]directory.InstanceID, 0, len(d.losses))
+	for id := range d.losses {
 		waiting = append(waiting, id)
 	}
 	return waiting
 }
 
-func (w *CrashDetector) take(id directory.InstanceID) []Loss {
-	taken := w.losses[id]
-	delete(w.losses, id)
-	w.count -= len(taken)
-	return taken
+func (d *CrashDetector) removeLosses(id directory.InstanceID) []Loss {
+	removed := d.losses[id]
+	delete(d.losses, id)
+	d.lossCount -= len(removed)
+	return removed
 }
 
-// expire forgets losses without a proof, and instances that ended long ago.
-func (w *CrashDetector) expire(now time.Duration) {
-	if now-w.expiredAt < expireInterval {
+// expire removes losses without a proof and instances that ended long ago.
+func (d *CrashDetector) expire(now time.Duration) {
+	if now-d.lastExpiry < expireInterval {
 		return
 	}
-	w.expiredAt = now
-	for id, losses := range w.losses {
-		if now-losses[len(losses)-1].Ended > confirmTime {
-			w.take(id)
+	d.lastExpiry = now
+	for id, losses := range d.losses {
+		if now-losses[len(losses)-1].Ended > confirmTimeout {
+			d.removeLosses(id)
 		}
 	}
-	for id, at := range w.ended {
-		if now-at > endedTime {
-			delete(w.ended, id)
+	for id, at := range d.ended {
+		if now-at > endedRetention {
+			delete(d.ended, id)
 		}
 	}
 }
