--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -10,23 +10,24 @@
 
 // Settings of a Balancer.
 type Settings struct {
-	// Zone is where this process stands.
+	// Zone is the zone of this process.
 	Zone string
-	// CrossZone is by how much sooner an instance in another zone must be expected to
-	// answer to be preferred to one in the own zone.
+	// CrossZone is how much sooner an instance in another zone must be expected to answer to be preferred to
+	// one in the process's own zone.
 	CrossZone time.Duration
-	// Regions has the region of each zone; a zone without one stands in the own region.
+	// Regions has the region of each zone; a zone without an entry counts as in the process's own region.
 	Regions map[string]string
-	// CrossRegion is CrossZone for an instance in another region.
+	// CrossRegion replaces CrossZone for an instance in another region.
 	CrossRegion time.Duration
-	// FirstLatency is expected of an instance before anything was learned.
+	// FirstLatency is the expected latency of a service before anything was learned.
 	FirstLatency time.Duration
-	// EjectAfter is how many failures in a row eject an instance, for EjectFor,
-	// doubled each time up to EjectMost.
-	EjectAfter int
-	EjectFor   time.Duration
-	EjectMost  time.Duration
-	// MaxEjected bounds the share of a service's instances that are left out.
+	// EjectAfter is the number of consecutive failures that eject an instance for EjectFor; the length doubles
+	// with each further ejection, up to MaxEjectFor, until an answer resets it.
+	EjectAfter  int
+	EjectFor    time.Duration
+	MaxEjectFor time.Duration
+	// MaxEjected limits the share of a service's instances that are ejected at the same time; if it is
+	// exceeded, ejections are ignored.
 	MaxEjected float64
 }
 
@@ -34,23 +35,23 @@
 func DefaultSettings(zone string) Settings {
 	return Settings{
 		Zone: zone, CrossZone: 60 * time.Millisecond, CrossRegion: 200 * time.Millisecond, FirstLatency: 100 * time.Millisecond,
-		EjectAfter: 2, EjectFor: time.Second, EjectMost: 8 * time.Second, MaxEjected: 0.5,
+		EjectAfter: 2, EjectFor: time.Second, MaxEjectFor: 8 * time.Second, MaxEjected: 0.5,
 	}
 }
 
-// Balancer is safe for concurrent use.
+// Balancer chooses instances for requests. It is safe for concurrent use.
 type Balancer struct {
 	settings Settings
 	mutex    sync.Mutex
-	loads    map[directory.InstanceID]*load
-	// latency is the mean over the instances of each service.
-	latency map[string]float64
-	// sent are the requests to each service.
-	sent map[string]sending
+	states   map[directory.InstanceID]*instanceState
+	// serviceLatency is the moving mean of the latency of each service over all its instances, in seconds.
+	serviceLatency map[string]float64
+	// sent counts the recent requests to each service.
+	sent map[string]decayingCount
 }
 
-// load is what is known of one instance.
-type load struct {
+// instanceState is what this process knows of one instance.
+type instanceState struct {
 	inFlight int
 	// latency is a moving mean in seconds; zero before the first answer.
 	latency      float64
@@ -58,52 +59,56 @@
 	ejections    int
 	ejectedUntil time.Duration
 	seenAt       time.Duration
-	sent         sending
-	// reduction is by how many requests the bound of those in flight is lowered,
-	// since the instance answers late.
-	reduction float64
+	sent         decayingCount
+	// limitReduction is the number of requests by which the limit on requests in flight is lowered because the
+	// instance answers late.
+	limitReduction float64
 }
 
-// New returns a balancer that knows of no instance.
+// New returns a balancer without instances.
 func New(settings Settings) *Balancer {
-	return &Balancer{settings: settings, loads: make(map[directory.InstanceID]*load), latency: make(map[string]float64), sent: make(map[string]sending)}
+	return &Balancer{
+		settings: settings, states: make(map[directory.InstanceID]*instanceState),
+		serviceLatency: make(map[string]float64), sent: make(map[string]decayingCount),
+	}
 }
 
-// Request is what a choice rests on.
+// Request holds the input of Choose.
 type Request struct {
 	Now     time.Duration
 	Service string
-	// Instances are those that may get the request.
+	// Instances are the candidates.
 	Instances []directory.Instance
-	// Limit bounds the requests in flight from this process to one instance, by its
-	// slots.
+	// Limit returns how many requests of this process may be in flight to an instance with this number of slots.
 	Limit func(slots int) int
-	// Random are two numbers in [0, 1).
+	// Random holds two numbers in [0, 1).
 	Random [2]float64
-	// timesPublished is true if the service times of some instances are known from all
-	// gateways: the others then take about the mean.
-	timesPublished bool
+	// serviceTimesPublished is true if the directory has the service times of some candidates, measured by all
+	// gateways. The other candidates are then expected to take about the mean.
+	serviceTimesPublished bool
 }
 
-// Choose returns the instance that is to get a request and counts it as in flight,
-// or false while each has as many requests as it may.
+// Choose returns the instance for a request and counts the request as in flight, or returns false if all
+// instances are at their limit.
 func (b *Balancer) Choose(request Request) (directory.Instance, bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	request.timesPublished = slices.ContainsFunc(request.Instances, func(instance directory.Instance) bool { return instance.ServiceTime > 0 })
+	request.serviceTimesPublished = slices.ContainsFunc(request.Instances, func(instance directory.Instance) bool {
+		return instance.ServiceTime > 0
+	})
 	free := b.free(request, b.notEjected(request))
 	if len(free) == 0 {
 		return directory.Instance{}, false
 	}
-	chosen := b.pick(request, free)
-	for _, most := range []time.Duration{b.settings.CrossZone, 0} {
-		near := b.within(free, most)
+	chosen := b.pickOfTwo(request, free)
+	for _, maxPenalty := range []time.Duration{b.settings.CrossZone, 0} {
+		near := b.withinPenalty(free, maxPenalty)
 		if len(near) == 0 || len(near) == len(free) {
 			continue
 		}
-		nearest := b.pick(request, near)
-		sooner := b.distance(chosen) - b.distance(nearest)
-		if b.expected(request, nearest) <= b.expected(request, chosen)+sooner.Seconds() {
+		nearest := b.pickOfTwo(request, near)
+		advantage := b.zonePenalty(chosen) - b.zonePenalty(nearest)
+		if b.expectedTime(request, nearest) <= b.expectedTime(request, chosen)+advantage.Seconds() {
 			chosen = nearest
 		}
 	}
@@ -111,45 +116,45 @@
 	return chosen, true
 }
 
-// pick draws two candidates and returns the one that is expected to answer sooner.
-func (b *Balancer) pick(request Request, candidates []directory.Instance) directory.Instance {
-	first := b.draw(request, candidates, request.Random[0])
-	second := b.draw(request, candidates, request.Random[1])
-	if b.expected(request, second) < b.expected(request, first) {
+// pickOfTwo draws two candidates and returns the one that is expected to answer sooner.
+func (b *Balancer) pickOfTwo(request Request, candidates []directory.Instance) directory.Instance {
+	first := b.drawByCapacity(request, candidates, request.Random[0])
+	second := b.drawByCapacity(request, candidates, request.Random[1])
+	if b.expectedTime(request, second) < b.expectedTime(request, first) {
 		return second
 	}
 	return first
 }
 
-// distance is by how much sooner an instance must be expected to answer to be preferred to one
-// in the own zone.
-func (b *Balancer) distance(instance directory.Instance) time.Duration {
+// zonePenalty is how much sooner an instance must be expected to answer to be preferred to one in the own
+// zone.
+func (b *Balancer) zonePenalty(instance directory.Instance) time.Duration {
 	if instance.Zone == b.settings.Zone {
 		return 0
 	}
 	own, known := b.settings.Regions[b.settings.Zone]
-	if region, told := b.settings.Regions[instance.Zone]; known && told && region != own {
+	if region, found := b.settings.Regions[instance.Zone]; known && found && region != own {
 		return b.settings.CrossRegion
 	}
 	return b.settings.CrossZone
 }
 
-// within returns the candidates that are no farther away.
-func (b *Balancer) within(candidates []directory.Instance, most time.Duration) []directory.Instance {
+// withinPenalty returns the candidates with a zone penalty of at most maxPenalty.
+func (b *Balancer) withinPenalty(candidates []directory.Instance, maxPenalty time.Duration) []directory.Instance {
 	var near []directory.Instance
 	for _, instance := range candidates {
-		if b.distance(instance) <= most {
+		if b.zonePenalty(instance) <= maxPenalty {
 			near = append(near, instance)
 		}
 	}
 	return near
 }
 
-// notEjected returns the instances that are not ejected, or all if too many are.
+// notEjected returns the candidates that are not ejected, or all if too many are ejected.
 func (b *Balancer) notEjected(request Request) []directory.Instance {
 	usable := make([]directory.Instance, 0, len(request.Instances))
 	for _, instance := range request.Instances {
-		if known, found := b.loads[instance.ID]; !found || known.ejectedUntil <= request.Now {
+		if known, found := b.states[instance.ID]; !found || known.ejectedUntil <= request.Now {
 			usable = append(usable, instance)
 		}
 	}
@@ -160,19 +165,19 @@
 	return usable
 }
 
+// free returns the candidates with fewer requests in flight than their limit.
 func (b *Balancer) free(request Request, candidates []directory.Instance) []directory.Instance {
 	free := make([]directory.Instance, 0, len(candidates))
 	for _, instance := range candidates {
-		if known, found := b.loads[instance.ID]; !found || known.inFlight < request.Limit(instance.Slots) {
+		if known, found := b.states[instance.ID]; !found || known.inFlight < request.Limit(instance.Slots) {
 			free = append(free, instance)
 		}
 	}
 	return free
 }
 
-// draw returns one of the candidates, the more likely the more requests it can
-// answer in a time.
-func (b *Balancer) draw(request Request, candidates []directory.Instance, random float64) directory.Instance {
+// drawByCapacity returns a candidate drawn with a probability proportional to its capacity.
+func (b *Balancer) drawByCapacity(request Request, candidates []directory.Instance, random float64) directory.Instance {
 	total := 0.0
 	for _, instance := range candidates {
 		total += b.capacity(request, instance)
@@ -187,37 +192,38 @@
 	return candidates[len(candidates)-1]
 }
 
+// capacity is the weight of an instance in a draw: the requests that it can answer per unit of time.
 func (b *Balancer) capacity(request Request, instance directory.Instance) float64 {
-	alone := b.alone(request, instance)
-	if request.timesPublished {
-		// By the square, so that slow instances get less than what fills them as much as
-		// the others: they answer late even when idle. Fast ones that get too much take
-		// longer, which the published times tell in turn.
-		alone *= alone
+	cost := b.unloadedTime(request, instance)
+	if request.serviceTimesPublished {
+		// Squared, so that slow instances get less than the share that would use them as fully as the others:
+		// they answer late even when idle. Fast instances that get too much become slower, which the published
+		// times show in turn.
+		cost *= cost
 	}
-	return float64(max(instance.Slots, 1)) / alone
+	return float64(max(instance.Slots, 1)) / cost
 }
 
-// alone is the time in seconds that the instance needs for a request.
-func (b *Balancer) alone(request Request, instance directory.Instance) float64 {
-	mean := b.latency[request.Service]
+// unloadedTime is the expected time in seconds that the instance needs for a request.
+func (b *Balancer) unloadedTime(request Request, instance directory.Instance) float64 {
+	mean := b.serviceLatency[request.Service]
 	if mean == 0 {
 		mean = b.settings.FirstLatency.Seconds()
 	}
-	known, found := b.loads[instance.ID]
+	known, found := b.states[instance.ID]
 	tried := found && known.latency > 0
 	if published := instance.ServiceTime.Seconds(); published > 0 {
-		if !tried || request.Now-known.seenAt > forgetAfter {
+		if !tried || request.Now-known.seenAt > latencyExpiry {
 			return published
 		}
 		return (known.latency + published) / 2
 	}
 	switch {
-	case !tried && request.timesPublished:
+	case !tried && request.serviceTimesPublished:
 		return mean
 	case !tried:
-		return untried * mean
-	case request.Now-known.seenAt > forgetAfter:
+		return untriedFactor * mean
+	case request.Now-known.seenAt > latencyExpiry:
 		return min(known.latency, mean)
 	default:
 		return known.latency
@@ -225,35 +231,33 @@
 }
 
 const (
-	// untried is what is expected of an instance that has not answered yet, as a
-	// share of the mean: less than one, so that it is tried.
-	untried = 0.5
-	// forgetAfter is how long an instance that was slow is expected to be so without
-	// being tried again.
-	forgetAfter = 5 * time.Second
+	// untriedFactor is the expected latency of an instance that has not answered yet, relative to the mean. It
+	// is below one, so that such an instance gets tried.
+	untriedFactor = 0.5
+	// latencyExpiry is how long an instance that was slow is assumed to stay slow while it gets no requests.
+	latencyExpiry = 5 * time.Second
 )
 
-// compared is the time in seconds by which two drawn instances are compared. Where the
-// service times are known from all gateways the draw has counted them already: if each
-// gateway preferred the faster of two once more, all would crowd at the fastest, and
-// none sees the requests of the others. There only what this process has found out of late
-// counts.
-func (b *Balancer) compared(request Request, instance directory.Instance) float64 {
-	if !request.timesPublished {
-		return b.alone(request, instance)
+// comparedTime is the time in seconds by which the two drawn instances are compared. With published service
+// times the draw has already taken them into account. If every gateway also preferred the faster of the two,
+// all would crowd at the fastest instances, since none sees the requests of the others. What counts instead
+// is by how much a latency that this process measured recently exceeds the published one.
+func (b *Balancer) comparedTime(request Request, instance directory.Instance) float64 {
+	if !request.serviceTimesPublished {
+		return b.unloadedTime(request, instance)
 	}
-	mean := b.latency[request.Service]
-	known, found := b.loads[instance.ID]
-	if !found || known.latency == 0 || request.Now-known.seenAt > forgetAfter || instance.ServiceTime <= 0 {
+	mean := b.serviceLatency[request.Service]
+	known, found := b.states[instance.ID]
+	if !found || known.latency == 0 || request.Now-known.seenAt > latencyExpiry || instance.ServiceTime <= 0 {
 		return mean
 	}
 	return mean * max(1, known.latency/instance.ServiceTime.Seconds())
 }
 
-// expected is the time in seconds until a request would be answered.
-func (b *Balancer) expected(request Request, instance directory.Instance) float64 {
-	needed := b.compared(request, instance)
-	known, found := b.loads[instance.ID]
+// expectedTime is the expected time in seconds until the request is answered.
+func (b *Balancer) expectedTime(request Request, instance directory.Instance) float64 {
+	needed := b.comparedTime(request, instance)
+	known, found := b.states[instance.ID]
 	if !found {
 		return needed
 	}
@@ -261,73 +265,72 @@
 	return needed * (1 + float64(known.inFlight)/float64(slots))
 }
 
+// begin counts a request to an instance as sent and in flight.
 func (b *Balancer) begin(now time.Duration, instance directory.Instance) {
-	known := b.load(instance.ID)
+	known := b.state(instance.ID)
 	known.inFlight++
 	known.seenAt = now
-	known.sent = known.sent.with(now)
-	b.sent[instance.Service] = b.sent[instance.Service].with(now)
+	known.sent = known.sent.increment(now)
+	b.sent[instance.Service] = b.sent[instance.Service].increment(now)
 }
 
-func (b *Balancer) load(id directory.InstanceID) *load {
-	known, found := b.loads[id]
+func (b *Balancer) state(id directory.InstanceID) *instanceState {
+	known, found := b.states[id]
 	if !found {
-		known = &load{}
-		b.loads[id] = known
+		known = &instanceState{}
+		b.states[id] = known
 	}
 	return known
 }
 
-// TryBegin counts a request to one instance as in flight, unless it has as many as
-// it may.
+// TryBegin counts a request to one instance as in flight, and returns false if the instance is at its limit.
 func (b *Balancer) TryBegin(now time.Duration, instance directory.Instance, limit int) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	known := b.load(instance.ID)
-	if known.inFlight >= max(1, limit-int(known.reduction)) {
+	known := b.state(instance.ID)
+	if known.inFlight >= max(1, limit-int(known.limitReduction)) {
 		return false
 	}
 	b.begin(now, instance)
 	return true
 }
 
-// Release takes back that a request counts as in flight to an instance, since it was not
-// sent.
+// Release ends a request that was counted as in flight but not sent.
 func (b *Balancer) Release(id directory.InstanceID) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	known := b.load(id)
+	known := b.state(id)
 	known.inFlight = max(known.inFlight-1, 0)
 }
 
-// Outcome is how one request to an instance ended.
+// Outcome is the result of one request to an instance.
 type Outcome struct {
 	Now      time.Duration
 	Service  string
 	Instance directory.InstanceID
-	// Took is how long the instance needed.
+	// Took is how long the attempt took.
 	Took time.Duration
-	// Answered is true for a whole answer by which the instance did work.
+	// Answered is true for a complete answer to a request that the instance processed.
 	Answered bool
 	// Failed is true if the instance was at fault.
 	Failed bool
-	// Unreachable is true if no connection to the instance could be made: it is ejected at
-	// once, since an attempt to connect costs a caller more than the choice of another.
+	// Unreachable is true if no connection to the instance could be made. It is ejected at once, since another
+	// failed connection attempt costs a caller more than choosing another instance.
 	Unreachable bool
 	// Gone is true if another instance answered at its address.
 	Gone bool
-	// Full is true if the instance refused the request for want of room.
+	// Full is true if the instance rejected the request for lack of capacity.
 	Full bool
 }
 
-// smoothing is the share of the newest latency in the moving mean.
-const smoothing = 0.2
+// latencySmoothing is the weight of the newest latency in the moving mean.
+const latencySmoothing = 0.2
 
-// End counts a request as ended. It reports whether the instance was ejected by it.
+// End counts a request as ended, and reports whether that ejected the instance.
 func (b *Balancer) End(outcome Outcome) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	known := b.load(outcome.Instance)
+	known := b.state(outcome.Instance)
 	known.inFlight = max(known.inFlight-1, 0)
 	known.seenAt = outcome.Now
 	if outcome.Answered {
@@ -336,11 +339,11 @@
 		known.ejectedUntil = 0
 		seconds := outcome.Took.Seconds()
 		known.latency = smoothed(known.latency, seconds)
-		b.latency[outcome.Service] = smoothed(b.latency[outcome.Service], seconds)
+		b.serviceLatency[outcome.Service] = smoothed(b.serviceLatency[outcome.Service], seconds)
 	}
-	known.adapt(outcome, b.latency[outcome.Service])
+	known.adaptLimit(outcome, b.serviceLatency[outcome.Service])
 	if outcome.Gone {
-		known.ejectedUntil = outcome.Now + b.settings.EjectMost
+		known.ejectedUntil = outcome.Now + b.settings.MaxEjectFor
 		return true
 	}
 	if !outcome.Failed {
@@ -351,56 +354,55 @@
 		return false
 	}
 	known.failures = 0
-	length := min(b.settings.EjectFor<<min(known.ejections, maxDoublings), b.settings.EjectMost)
+	length := min(b.settings.EjectFor<<min(known.ejections, maxDoublings), b.settings.MaxEjectFor)
 	known.ejections++
 	known.ejectedUntil = outcome.Now + length
 	return true
 }
 
 const (
-	// lateAnswer is how many times the mean an answer takes that counts as late.
-	lateAnswer = 2.5
-	// reductionStep and restoreStep are by how much the bound of requests in flight
-	// falls with a late answer and rises with any other.
-	reductionStep = 1.0
-	restoreStep   = 0.25
-	mostReduction = 4.0
+	// An answer is late if it takes more than lateAnswerFactor times the mean.
+	lateAnswerFactor = 2.5
+	// reduceStep is by how much a late answer lowers the limit on requests in flight, restoreStep by how much
+	// any other answer raises it again, and maxReduction the most that it is lowered by.
+	reduceStep   = 1.0
+	restoreStep  = 0.25
+	maxReduction = 4.0
 )
 
-// adapt lowers the bound of the requests in flight while an instance answers late, as
-// its queue is then long, and raises it again gradually.
-func (l *load) adapt(outcome Outcome, mean float64) {
-	late := outcome.Failed || outcome.Full || mean > 0 && outcome.Took.Seconds() > lateAnswer*mean
+// adaptLimit lowers the limit on requests in flight while an instance answers late, since its queue is then
+// long, and raises it gradually afterwards.
+func (s *instanceState) adaptLimit(outcome Outcome, mean float64) {
+	late := outcome.Failed || outcome.Full || mean > 0 && outcome.Took.Seconds() > lateAnswerFactor*mean
 	if late {
-		l.reduction = min(l.reduction+reductionStep, mostReduction)
+		s.limitReduction = min(s.limitReduction+reduceStep, maxReduction)
 		return
 	}
-	l.reduction = max(l.reduction-restoreStep, 0)
+	s.limitReduction = max(s.limitReduction-restoreStep, 0)
 }
 
-// maxDoublings keeps the shift of an ejection's length in bounds.
+// maxDoublings limits the shift that computes an ejection's length, so that it cannot overflow.
 const maxDoublings = 8
 
 func smoothed(mean, newest float64) float64 {
 	if mean == 0 {
 		return newest
 	}
-	return mean + smoothing*(newest-mean)
+	return mean + latencySmoothing*(newest-mean)
 }
 
-// Forget drops the instances that are not among those known and have no request in
-// flight.
-func (b *Balancer) Forget(known func(directory.InstanceID) bool) {
+// Forget removes the instances that have no request in flight and for which isKnown returns false.
+func (b *Balancer) Forget(isKnown func(directory.InstanceID) bool) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	for id, each := range b.loads {
-		if each.inFlight == 0 && !known(id) {
-			delete(b.loads, id)
+	for id, state := range b.states {
+		if state.inFlight == 0 && !isKnown(id) {
+			delete(b.states, id)
 		}
 	}
 }
 
-// InstanceLoad is what is known of an instance's load, for logs.
+// InstanceLoad describes the load of an instance as known to this process, for log lines.
 type InstanceLoad struct {
 	Instance directory.InstanceID `json:"instance"`
 	InFlight int                  `json:"in_flight"`
@@ -409,22 +411,22 @@
 	Ejected   bool  `json:"ejected,omitempty"`
 }
 
-// mostStandings bounds the instances that Standings returns.
-const mostStandings = 12
+// maxInstanceLoads limits the instances that InstanceLoads returns.
+const maxInstanceLoads = 12
 
-// InstanceLoads returns what is known of the loads of instances.
+// InstanceLoads returns the loads of the first maxInstanceLoads instances.
 func (b *Balancer) InstanceLoads(now time.Duration, instances []directory.Instance) []InstanceLoad {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	standings := make([]InstanceLoad, 0, min(len(instances), mostStandings))
-	for _, instance := range instances[:min(len(instances), mostStandings)] {
-		standing := InstanceLoad{Instance: instance.ID}
-		if known, found := b.loads[instance.ID]; found {
-			standing.InFlight = known.inFlight
-			standing.LatencyMs = int64(known.latency * float64(time.Second/time.Millisecond))
-			standing.Ejected = known.ejectedUntil > now
+	loads := make([]InstanceLoad, 0, min(len(instances), maxInstanceLoads))
+	for _, instance := range instances[:min(len(instances), maxInstanceLoads)] {
+		load := InstanceLoad{Instance: instance.ID}
+		if known, found := b.states[instance.ID]; found {
+			load.InFlight = known.inFlight
+			load.LatencyMs = int64(known.latency * float64(time.Second/time.Millisecond))
+			load.Ejected = known.ejectedUntil > now
 		}
-		standings = append(standings, standing)
+		loads = append(loads, load)
 	}
-	return standings
+	return loads
 }
--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -9,11 +9,11 @@
 )
 
 func instances(zones ...string) []directory.Instance {
-	var all []directory.Instance
+	var list []directory.Instance
 	for index, zone := range zones {
-		all = append(all, directory.Instance{ID: directory.InstanceID(rune('a' + index)), Zone: zone, Slots: 2, State: directory.InstanceReady})
+		list = append(list, directory.Instance{ID: directory.InstanceID(rune('a' + index)), Zone: zone, Slots: 2, State: directory.InstanceReady})
 	}
-	return all
+	return list
 }
 
 func request(now time.Duration, random *rand.Rand, all []directory.Instance) Request {
@@ -23,8 +23,8 @@
 	}
 }
 
-// drive sends requests one after another, each of which takes an instance's time.
-func drive(b *Balancer, all []directory.Instance, requests int, took func(directory.Instance) time.Duration) map[directory.InstanceID]int {
+// runRequests sends requests one after another and returns how many each instance got.
+func runRequests(b *Balancer, all []directory.Instance, requests int, took func(directory.Instance) time.Duration) map[directory.InstanceID]int {
 	random := rand.New(rand.NewPCG(3, 3))
 	counts := make(map[directory.InstanceID]int)
 	now := time.Duration(0)
@@ -40,27 +40,27 @@
 	return counts
 }
 
-// TestFasterInstancesGetMore: by the time that their answers took.
+// TestFasterInstancesGetMore: an instance that takes four times as long gets far fewer requests.
 func TestFasterInstancesGetMore(t *testing.T) {
 	all := instances("z", "z", "z")
 	b := New(DefaultSettings("z"))
-	counts := drive(b, all, 2000, func(instance directory.Instance) time.Duration {
+	counts := runRequests(b, all, 2000, func(instance directory.Instance) time.Duration {
 		if instance.ID == "c" {
 			return 400 * time.Millisecond
 		}
 		return 100 * time.Millisecond
 	})
 	if counts["c"]*4 > counts["a"] || counts["c"] == 0 {
-		t.Errorf("counts %v: the slow one gets few, but not none", counts)
+		t.Errorf("counts %v: the slow instance must get some requests, but at most a quarter as many", counts)
 	}
 }
 
-// TestOwnZoneFirst: as long as another zone is not expected to answer much sooner.
+// TestOwnZoneFirst: the own zone is preferred unless another zone is expected to answer much sooner.
 func TestOwnZoneFirst(t *testing.T) {
 	all := instances("far", "near", "far")
-	alike := func(directory.Instance) time.Duration { return 100 * time.Millisecond }
-	if counts := drive(New(DefaultSettings("near")), all, 500, alike); counts["b"] < 450 {
-		t.Errorf("counts %v: the near one is alike", counts)
+	sameTime := func(directory.Instance) time.Duration { return 100 * time.Millisecond }
+	if counts := runRequests(New(DefaultSettings("near")), all, 500, sameTime); counts["b"] < 450 {
+		t.Errorf("counts %v with equal times: the near instance must get most requests", counts)
 	}
 	slowNear := func(instance directory.Instance) time.Duration {
 		if instance.ID == "b" {
@@ -68,12 +68,12 @@
 		}
 		return 100 * time.Millisecond
 	}
-	if counts := drive(New(DefaultSettings("near")), all, 500, slowNear); counts["b"] > 100 {
-		t.Errorf("counts %v: the near one takes ten times as long", counts)
+	if counts := runRequests(New(DefaultSettings("near")), all, 500, slowNear); counts["b"] > 100 {
+		t.Errorf("counts %v: the near instance takes ten times as long and must get few requests", counts)
 	}
 }
 
-// TestLimitBoundsRequestsInFlight: a full instance is not chosen.
+// TestLimitBoundsRequestsInFlight: an instance at its limit is not chosen.
 func TestLimitBoundsRequestsInFlight(t *testing.T) {
 	all := instances("z", "z")
 	random := rand.New(rand.NewPCG(1, 1))
@@ -89,31 +89,31 @@
 	}
 	b.End(Outcome{Service: "s", Instance: "a"})
 	if chosen, found := b.Choose(request(0, random, all)); !found || chosen.ID != "a" {
-		t.Errorf("chosen %v %v, want the one that is free", chosen.ID, found)
+		t.Errorf("chosen %v %v, want a, which is below its limit", chosen.ID, found)
 	}
 }
 
-// TestInstanceThatIsGoneIsEjectedAtOnce: another instance answered at its address.
+// TestInstanceThatIsGoneIsEjectedAtOnce: an instance is ejected when another one answers at its address.
 func TestInstanceThatIsGoneIsEjectedAtOnce(t *testing.T) {
 	all := instances("z", "z", "z")
 	settings := DefaultSettings("z")
 	b := New(settings)
 	b.TryBegin(0, directory.Instance{ID: "a"}, 9)
 	if !b.End(Outcome{Service: "s", Instance: "a", Gone: true}) {
-		t.Fatal("one answer of another instance ejects")
+		t.Fatal("not ejected after an answer from another instance at its address")
 	}
 	random := rand.New(rand.NewPCG(1, 1))
 	for range 200 {
-		chosen, _ := b.Choose(request(settings.EjectMost-1, random, all))
-		b.End(Outcome{Now: settings.EjectMost - 1, Service: "s", Instance: chosen.ID})
+		chosen, _ := b.Choose(request(settings.MaxEjectFor-1, random, all))
+		b.End(Outcome{Now: settings.MaxEjectFor - 1, Service: "s", Instance: chosen.ID})
 		if chosen.ID == "a" {
-			t.Fatal("an instance that is gone got a request")
+			t.Fatal("an ejected instance got a request")
 		}
 	}
 }
 
-// TestEjection: failures in a row leave an instance out for a while that doubles;
-// never are so many left out that the rest could not carry the load.
+// TestEjection: consecutive failures eject an instance for a time that doubles, and ejections are ignored
+// when too few instances would be left to carry the load.
 func TestEjection(t *testing.T) {
 	all := instances("z", "z", "z")
 	settings := DefaultSettings("z")
@@ -123,9 +123,9 @@
 		return b.End(Outcome{Now: now, Service: "s", Instance: id, Failed: true})
 	}
 	if fail(0, "a") || !fail(0, "a") {
-		t.Fatal("the second failure in a row ejects")
+		t.Fatal("only the second consecutive failure must eject")
 	}
-	gets := func(now time.Duration, id directory.InstanceID) bool {
+	receivesRequest := func(now time.Duration, id directory.InstanceID) bool {
 		random := rand.New(rand.NewPCG(1, 1))
 		for range 200 {
 			chosen, _ := b.Choose(request(now, random, all))
@@ -136,25 +136,26 @@
 		}
 		return false
 	}
-	if gets(settings.EjectFor-1, "a") || !gets(settings.EjectFor, "a") {
-		t.Error("an ejected instance is left out for the first length")
+	if receivesRequest(settings.EjectFor-1, "a") || !receivesRequest(settings.EjectFor, "a") {
+		t.Error("the first ejection must last EjectFor")
 	}
 	fail(2*time.Second, "a")
 	fail(2*time.Second, "a")
-	if gets(2*time.Second+settings.EjectFor, "a") || !gets(2*time.Second+2*settings.EjectFor, "a") {
-		t.Error("the second ejection lasts twice as long")
+	if receivesRequest(2*time.Second+settings.EjectFor, "a") || !receivesRequest(2*time.Second+2*settings.EjectFor, "a") {
+		t.Error("the second ejection must last twice as long")
 	}
 	now := time.Minute
 	for _, id := range []directory.InstanceID{"a", "b"} {
 		fail(now, id)
 		fail(now, id)
 	}
-	if !gets(now, "a") {
-		t.Error("with two of three ejected all are used")
+	if !receivesRequest(now, "a") {
+		t.Error("with two of three instances ejected, all must be used")
 	}
 }
 
-// TestLateAnswersLowerTheBound: and answers in time raise it again, never below one.
+// TestLateAnswersLowerTheBound: late answers lower the limit on requests in flight, but not below one, and
+// answers in time raise it again.
 func TestLateAnswersLowerTheBound(t *testing.T) {
 	holder := directory.Instance{ID: "a", Slots: 2}
 	b := New(DefaultSettings("z"))
@@ -166,7 +167,7 @@
 		}
 		for range count {
 			b.mutex.Lock()
-			b.loads["a"].inFlight--
+			b.states["a"].inFlight--
 			b.mutex.Unlock()
 		}
 		return count
@@ -185,7 +186,7 @@
 	if got := admitted(); got != limit-2 {
 		t.Errorf("%d admitted after two late answers", got)
 	}
-	b.loads["a"].reduction = mostReduction
+	b.states["a"].limitReduction = maxReduction
 	if got := admitted(); got != 1 {
 		t.Errorf("%d admitted at the largest reduction", got)
 	}
@@ -195,9 +196,9 @@
 	}
 }
 
-// TestPublishedTimesSpreadRequests: instances that this process has never met get requests
-// by the service times that all gateways measured, the slow ones far fewer; and many
-// processes that know nothing else do not crowd at the fastest.
+// TestPublishedTimesSpreadRequests: a process without own measurements uses the service times published for
+// all gateways, so that slow instances get far fewer requests, and many such processes together do not crowd
+// at the fastest instance.
 func TestPublishedTimesSpreadRequests(t *testing.T) {
 	all := instances("z", "z", "z", "z")
 	for index, milliseconds := range []time.Duration{100, 100, 100, 300} {
@@ -212,48 +213,48 @@
 		counts[chosen.ID]++
 	}
 	if slow := counts["d"]; slow > processes/12 || slow == 0 {
-		t.Errorf("the slow instance gets %d of %d requests", slow, processes)
+		t.Errorf("the slow instance got %d of %d requests", slow, processes)
 	}
 	for _, id := range []directory.InstanceID{"a", "b", "c"} {
 		if counts[id] < processes/4 {
-			t.Errorf("%s gets %d of %d requests", id, counts[id], processes)
+			t.Errorf("%s got %d of %d requests", id, counts[id], processes)
 		}
 	}
 }
 
-// TestOwnAnswersCountBesidePublishedTimes: an instance that has turned slow for this
-// process gets fewer requests before the others tell of it.
+// TestOwnAnswersCountBesidePublishedTimes: an instance that has become slow for this process gets fewer
+// requests before the published service times show it.
 func TestOwnAnswersCountBesidePublishedTimes(t *testing.T) {
 	all := instances("z", "z")
 	for index := range all {
 		all[index].ServiceTime = 100 * time.Millisecond
 	}
 	b := New(DefaultSettings("z"))
-	counts := drive(b, all, 400, func(instance directory.Instance) time.Duration {
+	counts := runRequests(b, all, 400, func(instance directory.Instance) time.Duration {
 		if instance.ID == "b" {
 			return 900 * time.Millisecond
 		}
 		return 100 * time.Millisecond
 	})
 	if counts["b"] > counts["a"]/4 {
-		t.Errorf("the slow instance gets %d requests, the other one %d", counts["b"], counts["a"])
+		t.Errorf("the slow instance got %d requests, the other one %d", counts["b"], counts["a"])
 	}
 }
 
-// TestUnreachableInstanceIsEjectedAtOnce: a second attempt to connect would cost another
-// caller as much as the first.
+// TestUnreachableInstanceIsEjectedAtOnce: a second connection attempt would cost another caller as much as
+// the first one.
 func TestUnreachableInstanceIsEjectedAtOnce(t *testing.T) {
 	b := New(DefaultSettings("z"))
 	if !b.End(Outcome{Now: time.Second, Service: "s", Instance: "a", Failed: true, Unreachable: true}) {
-		t.Error("an instance that cannot be reached is not ejected")
+		t.Error("an unreachable instance is not ejected at once")
 	}
 	if b.End(Outcome{Now: time.Second, Service: "s", Instance: "b", Failed: true}) {
-		t.Error("another failure ejects at once")
+		t.Error("a single failure of another kind ejects")
 	}
 }
 
-// TestNearInstancesAreLoadedFirst: the own zone, then the own region, then others, and farther
-// ones once the near ones are full.
+// TestNearInstancesAreLoadedFirst: the own zone is used first, then the own region, then others; farther
+// instances once the nearer ones are full.
 func TestNearInstancesAreLoadedFirst(t *testing.T) {
 	settings := DefaultSettings("a1")
 	settings.Regions = map[string]string{"a1": "a", "a2": "a", "b1": "b"}
--- a/internal/balance/doc.go
+++ b/internal/balance/doc.go
@@ -1,6 +1,5 @@
-// Package balance decides which instance of a service gets a request: by the time
-// that each needs, learned from its answers, and by how many requests this process
-// has sent it and not yet seen answered. Instances that fail are left out for a
-// while, but never so many that the rest could not carry the load. It is a pure
-// core: the time and random numbers are given by the caller.
+// Package balance chooses the instance of a service that gets a request, by the service time of each
+// instance, learned from its answers, and by the number of requests of this process that are in flight to
+// it. Failing instances are ejected for a while, but never so many that the rest could not carry the load.
+// The package reads no clock and draws no random numbers; the caller passes them.
 package balance
