--- a/internal/health/tracker.go
+++ b/internal/health/tracker.go
@@ -7,59 +7,58 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
-// Settings bound ejection.
+// Settings hold the limits of ejection.
 type Settings struct {
-	// Failures is how many consecutive failures eject a server.
+	// Failures is the number of consecutive failures that eject a server.
 	Failures int
-	// BaseEjection is the first ejection's length; it doubles with each
-	// failed probe up to MaxEjection.
+	// BaseEjection is the length of the first ejection; it doubles with each failed probe up to MaxEjection.
 	BaseEjection time.Duration
 	MaxEjection  time.Duration
-	// MaxRatio bounds the share of a service's servers that are left out.
+	// MaxRatio limits the share of a service's servers that are ejected at the same time.
 	MaxRatio float64
 }
 
-// DefaultSettings eject after three failures for one to thirty seconds.
+// DefaultSettings eject a server after three failures for one to thirty seconds.
 func DefaultSettings() Settings {
 	return Settings{Failures: 3, BaseEjection: time.Second, MaxEjection: 30 * time.Second, MaxRatio: 0.5}
 }
 
-// Tracker holds the health of all back ends that one router knows.
+// Tracker holds the health of all back ends known to one router. It is safe for concurrent use.
 type Tracker struct {
 	settings Settings
 	mutex    sync.Mutex
-	servers  map[state.ServerID]*record
+	servers  map[state.ServerID]*serverHealth
 }
 
-type record struct {
+type serverHealth struct {
 	failures  int
 	ejections int
 	ejected   bool
-	// until is when the ejection allows a probe.
-	until   time.Duration
-	probing bool
-	unwell  bool
-	// drained is the server's revision at which it said that it drains.
-	drained    bool
-	drainedRev state.Revision
+	// probeAt is when the ejection first allows a probe.
+	probeAt   time.Duration
+	probing   bool
+	unhealthy bool
+	// draining is true if the server refused work because it drains, at its revision drainRevision.
+	draining      bool
+	drainRevision state.Revision
 }
 
-// NewTracker returns a tracker that thinks well of every server.
+// NewTracker returns a tracker that treats every server as healthy.
 func NewTracker(settings Settings) *Tracker {
-	return &Tracker{settings: settings, servers: make(map[state.ServerID]*record)}
+	return &Tracker{settings: settings, servers: make(map[state.ServerID]*serverHealth)}
 }
 
-func (t *Tracker) record(id state.ServerID) *record {
-	found, ok := t.servers[id]
+func (t *Tracker) healthOf(id state.ServerID) *serverHealth {
+	h, ok := t.servers[id]
 	if !ok {
-		found = &record{}
-		t.servers[id] = found
+		h = &serverHealth{}
+		t.servers[id] = h
 	}
-	return found
+	return h
 }
 
-// Forget drops all servers that keep does not name, so that the tracker stays
-// as small as the routing table.
+// Forget removes all servers for which keep returns false, so that the tracker does not outgrow the routing
+// table.
 func (t *Tracker) Forget(keep func(state.ServerID) bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -70,134 +69,134 @@
 	}
 }
 
-// Succeeded records an answer of the server, also a refusal: it is alive. It
-// reports whether that ended an ejection.
+// Succeeded records an answer of the server, which may be a refusal: the server is alive. It reports whether
+// that ended an ejection.
 func (t *Tracker) Succeeded(id state.ServerID) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	found := t.record(id)
-	readmitted := found.ejected
-	found.failures = 0
-	found.ejections = 0
-	found.ejected = false
-	found.probing = false
+	h := t.healthOf(id)
+	readmitted := h.ejected
+	h.failures = 0
+	h.ejections = 0
+	h.ejected = false
+	h.probing = false
 	return readmitted
 }
 
-// Failed records a failed connection or a timeout. It ejects the server after
-// enough of them in a row, or at once if the attempt was a probe. It reports
-// whether that began an ejection; a probe that fails only prolongs one.
+// Failed records a failed connection or a timeout. It ejects the server after enough consecutive failures,
+// or at once if the attempt was a probe. It reports whether that began an ejection; a failed probe only
+// prolongs one.
 func (t *Tracker) Failed(id state.ServerID, now time.Duration) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	found := t.record(id)
-	found.failures++
-	ejected := found.ejected
-	if found.probing || found.failures >= t.settings.Failures {
-		t.eject(found, now)
+	h := t.healthOf(id)
+	h.failures++
+	ejected := h.ejected
+	if h.probing || h.failures >= t.settings.Failures {
+		t.eject(h, now)
 	}
-	return found.ejected && !ejected
+	return h.ejected && !ejected
 }
 
-func (t *Tracker) eject(found *record, now time.Duration) {
-	if found.ejected && !found.probing && now < found.until {
+func (t *Tracker) eject(h *serverHealth, now time.Duration) {
+	if h.ejected && !h.probing && now < h.probeAt {
 		return
 	}
 	length := t.settings.BaseEjection
-	for i := 0; i < found.ejections && length < t.settings.MaxEjection; i++ {
+	for i := 0; i < h.ejections && length < t.settings.MaxEjection; i++ {
 		length *= 2
 	}
-	found.ejections++
-	found.ejected = true
-	found.probing = false
-	found.until = now + min(length, t.settings.MaxEjection)
+	h.ejections++
+	h.ejected = true
+	h.probing = false
+	h.probeAt = now + min(length, t.settings.MaxEjection)
 }
 
-// ProbeAbandoned gives back a probe whose attempt ended without an answer from
-// the server, for instance because it never left the router's queue.
+// ProbeAbandoned allows another probe after one that ended without an answer from the server, for instance
+// because the request never left the router's queue.
 func (t *Tracker) ProbeAbandoned(id state.ServerID) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.record(id).probing = false
+	t.healthOf(id).probing = false
 }
 
-// MarkDraining records that the server refused work because it drains. It gets no
-// new work until the controllers change its object: a new session, or its
-// leaving mark. It reports whether that was not known before.
+// MarkDraining records that the server refused work because it drains. The server gets no new work until its
+// object changes, that is, until the controllers set a new session or its leaving mark. MarkDraining reports
+// whether this was new.
 func (t *Tracker) MarkDraining(server *state.Server) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	found := t.record(server.ID)
-	known := found.drained && found.drainedRev == server.Revision
-	found.drained = true
-	found.drainedRev = server.Revision
-	return !known
+	h := t.healthOf(server.ID)
+	alreadyDraining := h.draining && h.drainRevision == server.Revision
+	h.draining = true
+	h.drainRevision = server.Revision
+	return !alreadyDraining
 }
 
 // Hint records the answer of the server's health endpoint.
-func (t *Tracker) Hint(id state.ServerID, well bool) {
+func (t *Tracker) Hint(id state.ServerID, healthy bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.record(id).unwell = !well
+	t.healthOf(id).unhealthy = !healthy
 }
 
-// Draining reports whether the server refused work and has not changed since.
+// Draining reports whether the server refused work because it drains, and its object has not changed since.
 func (t *Tracker) Draining(server *state.Server) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	found, ok := t.servers[server.ID]
-	return ok && found.drained && found.drainedRev == server.Revision
+	h, ok := t.servers[server.ID]
+	return ok && h.draining && h.drainRevision == server.Revision
 }
 
-// Begin marks the start of an attempt at the server; after an ejection has run
-// out it claims the one probe that is allowed at a time.
+// Begin records the start of an attempt at the server. Once an ejection has run out, the attempt is the one
+// probe that is allowed at a time.
 func (t *Tracker) Begin(id state.ServerID, now time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	found, ok := t.servers[id]
-	if ok && found.ejected && now >= found.until {
-		found.probing = true
+	h, ok := t.servers[id]
+	if ok && h.ejected && now >= h.probeAt {
+		h.probing = true
 	}
 }
 
-// Choose returns the servers that should get new work, best class first:
-// neither ejected nor unwell. At most MaxRatio of the servers are left out for
-// ejection, and never the last one; if more are ejected, the ones closest to
-// their next probe come back. Health hints alone never empty the set. Draining servers never come
-// back.
+// Choose returns the servers that may get new work: those that are not draining, not ejected and not
+// unhealthy according to their health endpoint. Ejection leaves out at most MaxRatio of the servers, and
+// never the last one; if more are ejected, those closest to their next probe are used again. If all
+// remaining servers are unhealthy according to their health endpoints, these are ignored. Draining servers
+// are never returned.
 func (t *Tracker) Choose(servers []*state.Server, now time.Duration) []*state.Server {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	present := t.presentLocked(servers)
-	usable, ejected := t.splitLocked(present, now)
-	floor := max(1, len(present)-int(t.settings.MaxRatio*float64(len(present))))
-	for len(usable) < floor && len(ejected) > 0 {
-		soonest := t.soonestLocked(ejected)
-		usable = append(usable, ejected[soonest])
-		ejected = append(ejected[:soonest], ejected[soonest+1:]...)
+	notDraining := t.notDrainingLocked(servers)
+	usable, ejected := t.splitEjectedLocked(notDraining, now)
+	minUsable := max(1, len(notDraining)-int(t.settings.MaxRatio*float64(len(notDraining))))
+	for len(usable) < minUsable && len(ejected) > 0 {
+		next := t.nextProbeLocked(ejected)
+		usable = append(usable, ejected[next])
+		ejected = append(ejected[:next], ejected[next+1:]...)
 	}
-	if well := t.wellLocked(usable); len(well) > 0 {
-		return well
+	if healthy := t.healthyLocked(usable); len(healthy) > 0 {
+		return healthy
 	}
 	return usable
 }
 
-func (t *Tracker) presentLocked(servers []*state.Server) []*state.Server {
-	present := make([]*state.Server, 0, len(servers))
+func (t *Tracker) notDrainingLocked(servers []*state.Server) []*state.Server {
+	notDraining := make([]*state.Server, 0, len(servers))
 	for _, server := range servers {
-		found, ok := t.servers[server.ID]
-		if ok && found.drained && found.drainedRev == server.Revision {
+		h, ok := t.servers[server.ID]
+		if ok && h.draining && h.drainRevision == server.Revision {
 			continue
 		}
-		present = append(present, server)
+		notDraining = append(notDraining, server)
 	}
-	return present
+	return notDraining
 }
 
-func (t *Tracker) splitLocked(servers []*state.Server, now time.Duration) (usable, ejected []*state.Server) {
+func (t *Tracker) splitEjectedLocked(servers []*state.Server, now time.Duration) (usable, ejected []*state.Server) {
 	for _, server := range servers {
-		found, ok := t.servers[server.ID]
-		if ok && found.ejected && (found.probing || now < found.until) {
+		h, ok := t.servers[server.ID]
+		if ok && h.ejected && (h.probing || now < h.probeAt) {
 			ejected = append(ejected, server)
 			continue
 		}
@@ -206,22 +205,23 @@
 	return usable, ejected
 }
 
-func (t *Tracker) soonestLocked(ejected []*state.Server) int {
+// nextProbeLocked returns the index of the server that is closest to its next probe.
+func (t *Tracker) nextProbeLocked(ejected []*state.Server) int {
 	soonest := 0
 	for i, server := range ejected {
-		if t.servers[server.ID].until < t.servers[ejected[soonest].ID].until {
+		if t.servers[server.ID].probeAt < t.servers[ejected[soonest].ID].probeAt {
 			soonest = i
 		}
 	}
 	return soonest
 }
 
-func (t *Tracker) wellLocked(servers []*state.Server) []*state.Server {
-	well := make([]*state.Server, 0, len(servers))
+func (t *Tracker) healthyLocked(servers []*state.Server) []*state.Server {
+	healthy := make([]*state.Server, 0, len(servers))
 	for _, server := range servers {
-		if found, ok := t.servers[server.ID]; !ok || !found.unwell {
-			well = append(well, server)
+		if h, ok := t.servers[server.ID]; !ok || !h.unhealthy {
+			healthy = append(healthy, server)
 		}
 	}
-	return well
+	return healthy
 }
--- a/internal/health/tracker_test.go
+++ b/internal/health/tracker_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-func fail(tracker *Tracker, id state.ServerID, now time.Duration) {
+func failUntilEjected(tracker *Tracker, id state.ServerID, now time.Duration) {
 	for range DefaultSettings().Failures {
 		tracker.Failed(id, now)
 	}
@@ -44,19 +44,19 @@
 	tracker.Failed("a", 0)
 	wantChosen(t, tracker.Choose(all, 0), "a", "b", "c")
 	if !tracker.Failed("a", 0) || tracker.Failed("a", 0) {
-		t.Error("an ejection begins once")
+		t.Error("only the third failure must begin an ejection")
 	}
 	wantChosen(t, tracker.Choose(all, 0), "b", "c")
 	wantChosen(t, tracker.Choose(all, time.Second), "a", "b", "c")
 	tracker.Begin("a", time.Second)
 	wantChosen(t, tracker.Choose(all, time.Second), "b", "c")
 	if tracker.Failed("a", time.Second) {
-		t.Error("a probe that fails began an ejection")
+		t.Error("a failed probe counts as a new ejection")
 	}
 	wantChosen(t, tracker.Choose(all, 3*time.Second-1), "b", "c")
 	tracker.Begin("a", 3*time.Second)
 	if !tracker.Succeeded("a") || tracker.Succeeded("a") {
-		t.Error("an ejection ends once")
+		t.Error("only the first success must end the ejection")
 	}
 	wantChosen(t, tracker.Choose(all, 3*time.Second), "a", "b", "c")
 }
@@ -64,7 +64,7 @@
 func TestFloorKeepsHalfAndTheLast(t *testing.T) {
 	tracker := NewTracker(DefaultSettings())
 	for i, id := range []state.ServerID{"a", "b", "c", "d"} {
-		fail(tracker, id, time.Duration(i))
+		failUntilEjected(tracker, id, time.Duration(i))
 	}
 	wantChosen(t, tracker.Choose(servers("a", "b", "c", "d"), 5), "a", "b")
 	wantChosen(t, tracker.Choose(servers("d"), 5), "d")
