--- a/internal/warmup/limiter_test.go
+++ b/internal/warmup/limiter_test.go
@@ -16,44 +16,44 @@
 )
 
 var (
-	carries = directory.Service{Name: "s", WarmUpSeconds: coldTime.Seconds(), WarmUpPerSecond: 6.7}
-	allowed = Bounds{Overrun: 1.5, Slack: 8}
+	coldService = directory.Service{Name: "s", WarmUpSeconds: coldTime.Seconds(), WarmUpPerSecond: 6.7}
+	testBounds  = Bounds{Overrun: 1.5, Slack: 8}
 )
 
-// fleet are the limiters of gateways, of which some hear late of cold instances, some are
-// cut off and hear of nothing, and some believe in another number of gateways.
+// fleet holds the limiters of all gateways. Each gateway learns of cold instances after a delay of its own,
+// and assumes a number of gateways of its own.
 type fleet struct {
-	limiters []*Limiter
-	lateBy   []time.Duration
-	counted  []int
-	random   *rand.Rand
+	limiters      []*Limiter
+	updateDelays  []time.Duration
+	gatewayCounts []int
+	random        *rand.Rand
 }
 
 func newFleet(seed uint64) *fleet {
 	f := &fleet{random: rand.New(rand.NewPCG(seed, 1))}
 	for range fleetSize {
-		f.limiters = append(f.limiters, NewLimiter(allowed))
-		f.lateBy = append(f.lateBy, time.Duration(f.random.Float64()*float64(500*time.Millisecond)))
-		f.counted = append(f.counted, fleetSize-f.random.IntN(fleetSize/10))
+		f.limiters = append(f.limiters, NewLimiter(testBounds))
+		f.updateDelays = append(f.updateDelays, time.Duration(f.random.Float64()*float64(500*time.Millisecond)))
+		f.gatewayCounts = append(f.gatewayCounts, fleetSize-f.random.IntN(fleetSize/10))
 	}
 	return f
 }
 
-// most plays instances that turn cold at the same moment while every gateway wants to send
-// to each of them all the time, and returns the most requests that one got in a second.
-func (f *fleet) most(instances int, incarnation int) int {
+// maxPerSecond simulates instances that become cold at the same moment while every gateway always has
+// requests for each of them. It returns the largest number of requests that one instance got within a second.
+func (f *fleet) maxPerSecond(instances int, incarnation int) int {
 	const step = 10 * time.Millisecond
 	arrivals := make([][]time.Duration, instances)
 	for now := time.Duration(0); now < coldTime; now += step {
 		for gateway, limiter := range f.limiters {
-			if now < f.lateBy[gateway] {
-				continue // a new incarnation that a gateway does not know gets nothing of it
+			if now < f.updateDelays[gateway] {
+				continue // the gateway sends nothing to an incarnation that it does not know yet
 			}
 			for index := range instances {
 				cold := directory.Instance{
 					ID: directory.InstanceID(fmt.Sprintf("i%d-%d", index, incarnation)), WarmUp: coldTime, ColdSince: directory.Revision(incarnation),
 				}
-				limiter.Note(now, cold, carries, f.counted[gateway], f.random.Float64())
+				limiter.Note(now, cold, coldService, f.gatewayCounts[gateway], f.random.Float64())
 				if limiter.Take(now, cold.ID) {
 					arrivals[index] = append(arrivals[index], now)
 				}
@@ -73,53 +73,53 @@
 	return highest
 }
 
-// TestFleetStaysBelowTheBound: with lists that differ, gateways that hear late, and a new
-// incarnation of each instance after the other.
+// TestFleetStaysBelowTheBound: the bound holds although gateways assume different numbers of gateways, learn
+// late of cold instances, and each instance is replaced by a new incarnation several times.
 func TestFleetStaysBelowTheBound(t *testing.T) {
-	bound := int(carries.WarmUpPerSecond*allowed.Overrun + allowed.Slack)
+	bound := int(coldService.WarmUpPerSecond*testBounds.Overrun + testBounds.Slack)
 	for seed := range uint64(3) {
 		f := newFleet(seed)
 		for incarnation := 1; incarnation <= 3; incarnation++ {
-			got := f.most(20, incarnation)
+			got := f.maxPerSecond(20, incarnation)
 			if got > bound {
 				t.Errorf("seed %d, incarnation %d: %d requests within a second, the bound is %d", seed, incarnation, got, bound)
 			}
 			if got < 5 {
-				t.Errorf("seed %d, incarnation %d: %d requests within a second at most: a cold instance must get some", seed, incarnation, got)
+				t.Errorf("seed %d, incarnation %d: at most %d requests within a second, want at least 5", seed, incarnation, got)
 			}
 		}
 	}
 }
 
-// TestColdInstanceTurnsWarm: by its time, or by the directory; and cold again under a later
-// revision, though it is told the same time.
+// TestColdInstanceTurnsWarm: an instance becomes warm when its time has passed or the directory says so, and
+// cold again at a later revision, even with the same warm-up time.
 func TestColdInstanceTurnsWarm(t *testing.T) {
-	limiter := NewLimiter(allowed)
+	limiter := NewLimiter(testBounds)
 	cold := directory.Instance{ID: "a", WarmUp: coldTime, ColdSince: 4}
-	limiter.Note(0, cold, carries, fleetSize, 0.9)
+	limiter.Note(0, cold, coldService, fleetSize, 0.9)
 	if limiter.Take(0, "a") || !limiter.Take(0, "b") {
 		t.Error("a cold instance must wait for its turn, a warm one must not")
 	}
 	for range 2 {
 		if !limiter.Take(2*coldTime, "a") {
-			t.Error("it must be warm once its time has passed")
+			t.Error("the instance must be warm once its time has passed")
 		}
 	}
 	cold.ColdSince = 9
-	limiter.Note(2*coldTime, cold, carries, fleetSize, 0.9)
+	limiter.Note(2*coldTime, cold, coldService, fleetSize, 0.9)
 	if limiter.Take(2*coldTime, "a") {
-		t.Error("it must be cold again under a later revision")
+		t.Error("the instance must be cold again at a later revision")
 	}
-	limiter.Note(2*coldTime, directory.Instance{ID: "a"}, carries, fleetSize, 0.9)
+	limiter.Note(2*coldTime, directory.Instance{ID: "a"}, coldService, fleetSize, 0.9)
 	if !limiter.Take(2*coldTime, "a") {
-		t.Error("it must be warm once the directory says so")
+		t.Error("the instance must be warm once the directory says so")
 	}
 }
 
-// TestNothingIsSentWhileTheFleetIsUnknown: the share of a gateway is not known then.
+// TestNothingIsSentWhileTheFleetIsUnknown: without the number of gateways, a gateway does not know its share.
 func TestNothingIsSentWhileTheFleetIsUnknown(t *testing.T) {
-	limiter := NewLimiter(allowed)
-	limiter.Note(0, directory.Instance{ID: "a", WarmUp: coldTime, ColdSince: 1}, carries, 0, 0)
+	limiter := NewLimiter(testBounds)
+	limiter.Note(0, directory.Instance{ID: "a", WarmUp: coldTime, ColdSince: 1}, coldService, 0, 0)
 	if limiter.Take(coldTime-1, "a") {
 		t.Error("a gateway that does not know its share must send nothing")
 	}
@@ -131,7 +131,7 @@
 		bounds      Bounds
 		least, most float64
 	}{
-		{6.7, allowed, 4, 6.7}, {2, Bounds{Overrun: 1.5, Slack: 100}, 2, 2}, {0, allowed, 0, 0},
+		{6.7, testBounds, 4, 6.7}, {2, Bounds{Overrun: 1.5, Slack: 100}, 2, 2}, {0, testBounds, 0, 0},
 		{1, Bounds{Overrun: 1, Slack: 0}, 0, 0}, {1000, Bounds{Overrun: 1, Slack: 0}, 700, 1000},
 	} {
 		if got := FleetRate(c.perSecond, c.bounds); got < c.least || got > c.most {
--- a/internal/warmup/rate.go
+++ b/internal/warmup/rate.go
@@ -3,32 +3,32 @@
 import "math"
 
 const (
-	// deviations is how many standard deviations the sum over all gateways may exceed
-	// its mean by within the bound. Gateways act independently, so that requests arrive
-	// much like a Poisson process, which exceeds five deviations once in a million seconds.
-	deviations = 5
-	// inTransit is kept of the bound for requests that were delayed on their way and
-	// arrive within one second with later ones.
-	inTransit = 2
+	// maxDeviations is the number of standard deviations by which the total over all gateways may exceed its
+	// mean and still be within the bound. Gateways act independently, so that requests arrive approximately as
+	// a Poisson process, which exceeds five deviations about once in a million seconds.
+	maxDeviations = 5
+	// delayedReserve is the part of the bound reserved for requests that were delayed on the network and arrive
+	// in the same second as later ones.
+	delayedReserve = 2
 )
 
-// Bounds are what the platform allows a cold instance in any one second.
+// Bounds limit the requests that a cold instance may get in any one second.
 type Bounds struct {
-	// Overrun is the factor on the requests that the instance carries in a second, and
-	// Slack the requests allowed on top.
+	// Overrun is the factor on the requests that the instance carries in a second, and Slack the number of
+	// requests allowed in addition.
 	Overrun float64
 	Slack   float64
 }
 
-// FleetRate returns the requests a second that all gateways together send to a cold
-// instance which carries a number of them: no more than that, and so few that chance does
-// not bring them above the bound in any one second.
+// FleetRate returns the rate in requests per second at which all gateways together send to a cold instance
+// that carries perSecond. It is at most perSecond, and low enough that a random variation of maxDeviations
+// does not exceed the bound in any one second.
 func FleetRate(perSecond float64, bounds Bounds) float64 {
-	most := perSecond*bounds.Overrun + bounds.Slack - inTransit
-	if perSecond <= 0 || most <= 0 {
+	limit := perSecond*bounds.Overrun + bounds.Slack - delayedReserve
+	if perSecond <= 0 || limit <= 0 {
 		return 0
 	}
-	// The root of the rate r for which r + deviations*sqrt(r) reaches the bound.
-	root := (math.Sqrt(deviations*deviations+4*most) - deviations) / 2
+	// The square root of the rate r for which r + maxDeviations*sqrt(r) equals the limit.
+	root := (math.Sqrt(maxDeviations*maxDeviations+4*limit) - maxDeviations) / 2
 	return min(perSecond, root*root)
 }
