--- a/internal/crashwatch/doc.go
+++ b/internal/crashwatch/doc.go
@@ -1,4 +1,4 @@
-// Package crashwatch runs the decisions of package quarantine in a process that sends requests to
-// servers, a gateway or a router: it probes servers that lost requests (Watch), computes the
-// fingerprints of requests that may be suspected and keeps those in quarantine from being sent (Guard).
+// Package crashwatch applies package quarantine in a process that sends requests to servers, that is, in a
+// gateway or router. It probes servers that lost requests (Watch), computes the fingerprints of requests
+// that may be suspected, and rejects requests in quarantine before they are sent (Guard).
 package crashwatch
--- a/internal/crashwatch/guard.go
+++ b/internal/crashwatch/guard.go
@@ -12,36 +12,37 @@
 	"github.com/thorntiller/thorntiller/internal/telemetry"
 )
 
-// Guard decides which requests are sent, by those under which instances crashed. It is safe for
+// Guard decides which requests may be sent, and rejects those under which instances crashed. It is safe for
 // concurrent use.
 type Guard struct {
 	clock clock.Clock
-	// idle is true while no request is suspected, which is nearly always: requests are not hashed
-	// then.
+	// idle is true while no request is suspected, which is nearly always the case. Requests are then not
+	// hashed.
 	idle   atomic.Bool
 	hasher atomic.Pointer[quarantine.Hasher]
 	mutex  sync.Mutex
 	guard  *quarantine.Guard
-	// revision is that of the suspects that the guard has.
+	// revision is that of the suspects last set.
 	revision directory.Revision
-	// urgent gets an entry when the leader is to be told at once.
+	// urgent receives a value when a report should be sent to the leader at once.
 	urgent chan struct{}
 }
 
-// NewGuard returns a guard of a process, which puts a request in quarantine by itself after a number of
-// crashes that no leader heard of. Urgent gets an entry when the leader is to be told at once.
+// NewGuard returns the guard of a process. It puts a request in quarantine by itself after the given number
+// of crashes that no leader has acknowledged. Urgent receives a value when a report should be sent to the
+// leader at once.
 func NewGuard(system clock.Clock, process string, crashes int, urgent chan struct{}) *Guard {
 	guard := &Guard{clock: system, guard: quarantine.NewGuard(process, crashes), urgent: urgent}
 	guard.idle.Store(true)
 	return guard
 }
 
-// SetSecret takes the secret by which all processes of a cluster compute the same fingerprints.
+// SetSecret sets the secret that makes all processes of a cluster compute the same fingerprints.
 func (g *Guard) SetSecret(secret string) { g.hasher.Store(quarantine.NewHasher(secret)) }
 
-// do calls a function with the guard, and tells the leader at once if it returns true.
-func (g *Guard) do(call func(now time.Duration, guard *quarantine.Guard) (tell bool)) {
-	if !g.locked(call) {
+// withGuard calls a function with the locked guard, and signals urgent if it returns true.
+func (g *Guard) withGuard(call func(now time.Duration, guard *quarantine.Guard) (notifyLeader bool)) {
+	if !g.callLocked(call) {
 		return
 	}
 	select {
@@ -50,17 +51,17 @@
 	}
 }
 
-func (g *Guard) locked(call func(now time.Duration, guard *quarantine.Guard) bool) bool {
+func (g *Guard) callLocked(call func(now time.Duration, guard *quarantine.Guard) bool) bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
-	tell := call(g.clock.Now(), g.guard)
+	notifyLeader := call(g.clock.Now(), g.guard)
 	g.idle.Store(g.guard.Idle())
-	return tell
+	return notifyLeader
 }
 
-// SetSuspects takes the suspects of the directory.
+// SetSuspects replaces the suspects by those of the directory.
 func (g *Guard) SetSuspects(suspects directory.Suspects) {
-	g.do(func(now time.Duration, guard *quarantine.Guard) bool {
+	g.withGuard(func(now time.Duration, guard *quarantine.Guard) bool {
 		if suspects.Revision != g.revision {
 			g.revision = suspects.Revision
 			guard.SetSuspects(now, suspects.List)
@@ -69,49 +70,49 @@
 	})
 }
 
-// Revision returns that of the suspects that were taken last.
+// Revision returns the revision of the suspects last set.
 func (g *Guard) Revision() directory.Revision {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.revision
 }
 
-// Crashed takes requests that were in flight at a crash.
+// Crashed records requests that were in flight at a crash.
 func (g *Guard) Crashed(losses []quarantine.Loss) {
-	g.do(func(now time.Duration, guard *quarantine.Guard) bool {
+	g.withGuard(func(now time.Duration, guard *quarantine.Guard) bool {
 		guard.Crashed(now, losses)
 		return true
 	})
 }
 
-// Report returns what the leader is to be told; nil for nothing.
-func (g *Guard) Report() (told *quarantine.Report) {
-	g.do(func(now time.Duration, guard *quarantine.Guard) bool {
+// Report returns the next report to the leader, or nil if there is nothing to report.
+func (g *Guard) Report() (toSend *quarantine.Report) {
+	g.withGuard(func(now time.Duration, guard *quarantine.Guard) bool {
 		if report, found := guard.Report(now); found {
-			told = &report
+			toSend = &report
 		}
 		return false
 	})
-	return told
+	return toSend
 }
 
-// Acknowledge takes the number of a report that the leader heard.
+// Acknowledge handles the leader's confirmation of the report with this number and of all earlier ones.
 func (g *Guard) Acknowledge(number uint64) {
-	g.do(func(_ time.Duration, guard *quarantine.Guard) bool {
+	g.withGuard(func(_ time.Duration, guard *quarantine.Guard) bool {
 		guard.Acknowledge(number)
 		return false
 	})
 }
 
-// Connected notes a new connection to a leader.
+// Connected handles a new connection to a leader.
 func (g *Guard) Connected() {
-	g.do(func(_ time.Duration, guard *quarantine.Guard) bool {
+	g.withGuard(func(_ time.Duration, guard *quarantine.Guard) bool {
 		guard.Connected()
 		return false
 	})
 }
 
-// RegisterMetrics shows how many requests are suspected and in quarantine.
+// RegisterMetrics registers the numbers of suspected and quarantined requests.
 func (g *Guard) RegisterMetrics(registry *telemetry.Metrics) {
 	registry.GaugeFunction("suspected_requests", "Requests that were in flight at a crash of an instance, those in quarantine included.", func() float64 {
 		suspected, _ := g.suspects()
@@ -124,37 +125,38 @@
 }
 
 func (g *Guard) suspects() (suspected, quarantined int) {
-	g.do(func(_ time.Duration, guard *quarantine.Guard) bool {
+	g.withGuard(func(_ time.Duration, guard *quarantine.Guard) bool {
 		suspected, quarantined = guard.Suspects()
 		return false
 	})
 	return suspected, quarantined
 }
 
-// Request is one request that is to be sent, with what was found out about it. It is not safe for
-// concurrent use.
+// Request is the state of one request with respect to quarantine. It is not safe for concurrent use.
 type Request struct {
-	// Identify returns what makes the request the same as another one.
+	// Identify returns the parts of the request that identify it.
 	Identify func() quarantine.Request
 
-	known       bool
-	fingerprint directory.Fingerprint
-	pathKnown   bool
-	path        directory.PathHash
-	// suspected is true if the request was in flight at a crash before it was sent last.
+	fingerprintKnown bool
+	fingerprint      directory.Fingerprint
+	pathKnown        bool
+	path             directory.PathHash
+	// suspected is true if the request was suspected when it was last about to be sent.
 	suspected bool
-	// onTrial is true for a request in quarantine that is sent to find out whether it is to blame.
+	// onTrial is true for a quarantined request that is sent to find out whether it causes the crashes.
 	onTrial bool
 }
 
-// Fingerprint returns the request's fingerprint, and false if it was not computed.
-func (r *Request) Fingerprint() (directory.Fingerprint, bool) { return r.fingerprint, r.known }
+// Fingerprint returns the request's fingerprint, or false if it was not computed.
+func (r *Request) Fingerprint() (directory.Fingerprint, bool) {
+	return r.fingerprint, r.fingerprintKnown
+}
 
-// Suspected reports whether the request was in flight at a crash before it was sent last, and was not
-// answered since.
+// Suspected reports whether the request was suspected when it was last about to be sent: it had been in
+// flight at a crash and not been answered since.
 func (r *Request) Suspected() bool { return r.suspected }
 
-// pathHash returns the hash of the request's host and path.
+// pathHash returns the hash of the request's host and URI.
 func (r *Request) pathHash() directory.PathHash {
 	if !r.pathKnown {
 		identity := r.Identify()
@@ -163,9 +165,9 @@
 	return r.path
 }
 
-// compute returns the fingerprint of a request; false while the key of the cluster is not known.
-func (g *Guard) compute(request *Request) (directory.Fingerprint, bool) {
-	if request.known {
+// computeFingerprint returns the fingerprint of a request, or false before SetSecret.
+func (g *Guard) computeFingerprint(request *Request) (directory.Fingerprint, bool) {
+	if request.fingerprintKnown {
 		return request.fingerprint, true
 	}
 	hasher := g.hasher.Load()
@@ -173,37 +175,37 @@
 		return 0, false
 	}
 	request.fingerprint = hasher.Fingerprint(request.Identify())
-	request.known = true
+	request.fingerprintKnown = true
 	return request.fingerprint, true
 }
 
-// suspectedPrint returns the fingerprint of a request that may be suspected; false for one that
-// surely is not, which is told by its path.
-func (g *Guard) suspectedPrint(request *Request) (directory.Fingerprint, bool) {
+// suspectFingerprint returns the fingerprint of a request that may be suspected. It returns false, without
+// hashing the whole request, if no suspect has the request's path.
+func (g *Guard) suspectFingerprint(request *Request) (directory.Fingerprint, bool) {
 	if g.idle.Load() {
 		return 0, false
 	}
-	watched := false
+	pathSuspected := false
 	path := request.pathHash()
-	g.do(func(_ time.Duration, guard *quarantine.Guard) bool {
-		watched = guard.Watches(path)
+	g.withGuard(func(_ time.Duration, guard *quarantine.Guard) bool {
+		pathSuspected = guard.Watches(path)
 		return false
 	})
-	if !watched {
+	if !pathSuspected {
 		return 0, false
 	}
-	return g.compute(request)
+	return g.computeFingerprint(request)
 }
 
-// Check returns the failure of a request in quarantine; nil for others.
+// Check returns an error if the request is in quarantine, else nil.
 func (g *Guard) Check(request *Request) *fault.Error {
 	return g.check(request, func(now time.Duration, guard *quarantine.Guard, fingerprint directory.Fingerprint) bool {
 		return guard.Check(now, fingerprint) != quarantine.Reject
 	})
 }
 
-// CheckBeforeSend returns the failure of a request in quarantine that is about to be sent; nil if it is
-// sent at once, which uses up its trial.
+// CheckBeforeSend is Check for a request that is sent at once if the result is nil; it uses up the
+// request's trial.
 func (g *Guard) CheckBeforeSend(request *Request) *fault.Error {
 	return g.check(request, func(now time.Duration, guard *quarantine.Guard, fingerprint directory.Fingerprint) bool {
 		request.suspected = guard.Suspected(fingerprint)
@@ -216,12 +218,12 @@
 }
 
 func (g *Guard) check(request *Request, maySend func(time.Duration, *quarantine.Guard, directory.Fingerprint) bool) *fault.Error {
-	fingerprint, suspected := g.suspectedPrint(request)
+	fingerprint, suspected := g.suspectFingerprint(request)
 	if !suspected {
 		return nil
 	}
 	allowed := true
-	g.do(func(now time.Duration, guard *quarantine.Guard) bool {
+	g.withGuard(func(now time.Duration, guard *quarantine.Guard) bool {
 		allowed = maySend(now, guard, fingerprint)
 		return !allowed && guard.Rejected(now, fingerprint)
 	})
@@ -232,8 +234,8 @@
 		"servers crashed under request %s, so that it is sent to none; an operator can release it", fingerprint)
 }
 
-// EndTrial gives back the trial of a request that surely did not run. Failure is nil for one that was
-// answered.
+// EndTrial makes the trial available again if the failure proves that the request did not run. Failure is
+// nil for a request that was answered.
 func (g *Guard) EndTrial(request *Request, failure *fault.Error) {
 	if !request.onTrial {
 		return
@@ -242,36 +244,36 @@
 	if failure == nil || fault.AnswerFor(failure.Kind).Outcome != fault.NotRun {
 		return
 	}
-	g.do(func(_ time.Duration, guard *quarantine.Guard) bool {
+	g.withGuard(func(_ time.Duration, guard *quarantine.Guard) bool {
 		guard.ReturnTrial(request.fingerprint)
 		return false
 	})
 }
 
-// Answered takes that an instance ran a request and answered it.
+// Answered records that an instance ran and answered a request.
 func (g *Guard) Answered(request *Request) {
-	fingerprint, suspected := g.suspectedPrint(request)
+	fingerprint, suspected := g.suspectFingerprint(request)
 	if !suspected {
 		return
 	}
-	g.do(func(now time.Duration, guard *quarantine.Guard) bool { return guard.Answered(now, fingerprint) })
+	g.withGuard(func(now time.Duration, guard *quarantine.Guard) bool { return guard.Answered(now, fingerprint) })
 }
 
-// Attempt is an attempt that ended without an answer of its instance.
+// Attempt is an attempt that ended without an answer from its instance.
 type Attempt struct {
 	Service   string
 	Instance  directory.InstanceID
 	Address   string
 	RequestID string
-	// Took is how long it was in flight until now.
+	// Took is how long the attempt was in flight until now.
 	Took time.Duration
-	// ConnectionEnded is true if the instance ended the connection.
+	// ConnectionEnded is true if the instance closed the connection.
 	ConnectionEnded bool
 }
 
-// Lost tells a watch of a request whose attempt may have ended with its instance.
+// Lost tells the watch of an attempt that may have ended because its instance did.
 func (g *Guard) Lost(watch *Watch, request *Request, attempt Attempt) {
-	fingerprint, known := g.compute(request)
+	fingerprint, known := g.computeFingerprint(request)
 	if !known {
 		return
 	}
--- a/internal/crashwatch/guard_test.go
+++ b/internal/crashwatch/guard_test.go
@@ -15,27 +15,28 @@
 	Caller: "address 10.0.0.1", Body: make([]byte, 1<<10),
 }
 
-// guarded returns a guard that knows of suspects, and a request.
-func guarded(suspects ...directory.Suspect) (*Guard, *Request) {
+// newTestGuard returns a guard with the given suspects, and a request.
+func newTestGuard(suspects ...directory.Suspect) (*Guard, *Request) {
 	guard := NewGuard(clock.NewSystem(), "g", 3, make(chan struct{}, 1))
 	guard.SetSecret("cluster")
 	guard.SetSuspects(directory.Suspects{List: suspects, Revision: 1})
 	return guard, &Request{Identify: func() quarantine.Request { return identity }}
 }
 
-func printOf(t testing.TB) (directory.Fingerprint, directory.PathHash) {
+func identityHashes(t testing.TB) (directory.Fingerprint, directory.PathHash) {
 	t.Helper()
-	guard, request := guarded()
-	fingerprint, known := guard.compute(request)
+	guard, request := newTestGuard()
+	fingerprint, known := guard.computeFingerprint(request)
 	if !known {
 		t.Fatal("no fingerprint")
 	}
 	return fingerprint, quarantine.PathOf(identity.Host, identity.URI)
 }
 
-// TestQuarantineIsChecked: by path first, and by the fingerprint of the whole request then.
+// TestQuarantineIsChecked: only a request for the path of a suspect is hashed, and only one with the
+// fingerprint of a quarantined suspect is rejected.
 func TestQuarantineIsChecked(t *testing.T) {
-	fingerprint, path := printOf(t)
+	fingerprint, path := identityHashes(t)
 	for name, c := range map[string]struct {
 		suspect directory.Suspect
 		allowed bool
@@ -46,46 +47,48 @@
 		"only suspected":  {directory.Suspect{Fingerprint: fingerprint, Path: path}, true, true},
 		"in quarantine":   {directory.Suspect{Fingerprint: fingerprint, Path: path, Quarantined: true}, false, true},
 	} {
-		guard, request := guarded(c.suspect)
+		guard, request := newTestGuard(c.suspect)
 		failure := guard.Check(request)
 		if _, hashed := request.Fingerprint(); (failure == nil) != c.allowed || hashed != c.hashed {
 			t.Errorf("%s: failure %v, hashed %t", name, failure, hashed)
 		}
 		if failure := guard.CheckBeforeSend(request); (failure == nil) != c.allowed {
-			t.Errorf("%s: before the send: %v", name, failure)
+			t.Errorf("%s: CheckBeforeSend: %v", name, failure)
 		}
 	}
 }
 
-// TestTrialThatReachedNothingIsGivenBack: and one that ran, or may have, is not.
+// TestTrialThatReachedNothingIsGivenBack: a trial can be used again if the request surely did not run, but
+// not if it ran or may have run.
 func TestTrialThatReachedNothingIsGivenBack(t *testing.T) {
-	fingerprint, path := printOf(t)
-	for kind, again := range map[fault.Kind]bool{fault.ConnectFailed: true, fault.Shedding: true, fault.ConnectionLost: false, fault.DeadlineExceeded: false} {
-		guard, request := guarded(directory.Suspect{Fingerprint: fingerprint, Path: path, Quarantined: true, Trials: 1, TrialBy: "g"})
+	fingerprint, path := identityHashes(t)
+	for kind, returned := range map[fault.Kind]bool{fault.ConnectFailed: true, fault.Shedding: true, fault.ConnectionLost: false, fault.DeadlineExceeded: false} {
+		guard, request := newTestGuard(directory.Suspect{Fingerprint: fingerprint, Path: path, Quarantined: true, Trials: 1, TrialBy: "g"})
 		if failure := guard.CheckBeforeSend(request); failure != nil {
 			t.Fatal(failure)
 		}
 		guard.EndTrial(request, fault.New(kind, ""))
-		if failure := guard.CheckBeforeSend(request); (failure == nil) != again {
+		if failure := guard.CheckBeforeSend(request); (failure == nil) != returned {
 			t.Errorf("after %s: %v", kind, failure)
 		}
 	}
 }
 
-// TestLossesAreToldAtOnce: with the fingerprint that the same request has everywhere.
+// TestLossesAreToldAtOnce: a crash is reported to the leader at once, with the same fingerprint that other
+// processes compute; a loss without a proof of a crash is not reported.
 func TestLossesAreToldAtOnce(t *testing.T) {
-	fingerprint, _ := printOf(t)
-	guard, request := guarded()
+	fingerprint, _ := identityHashes(t)
+	guard, request := newTestGuard()
 	watch := NewWatch(guard.clock, nil, guard.Crashed)
 	guard.Lost(watch, request, Attempt{Service: "s", Instance: "a", Took: time.Millisecond})
 	if report := guard.Report(); report != nil {
-		t.Fatalf("told before the instance was known to have ended: %+v", report)
+		t.Fatalf("reported before the instance was known to have ended: %+v", report)
 	}
 	guard.Crashed([]quarantine.Loss{{Fingerprint: fingerprint, Instance: "a"}})
 	select {
 	case <-guard.urgent:
 	default:
-		t.Error("the leader is not told at once")
+		t.Error("the crash is not signalled as urgent")
 	}
 	if report := guard.Report(); report == nil || report.Crashes[0].Fingerprint != fingerprint {
 		t.Errorf("report %+v", report)
@@ -93,7 +96,7 @@
 }
 
 func benchmarkGuard(b *testing.B, suspects ...directory.Suspect) {
-	guard, request := guarded(suspects...)
+	guard, request := newTestGuard(suspects...)
 	b.ReportAllocs()
 	for b.Loop() {
 		fresh := Request{Identify: request.Identify}
@@ -102,16 +105,16 @@
 	}
 }
 
-// BenchmarkRequestWithoutSuspects is the path of nearly all requests.
+// BenchmarkRequestWithoutSuspects measures the path of nearly all requests.
 func BenchmarkRequestWithoutSuspects(b *testing.B) { benchmarkGuard(b) }
 
-// BenchmarkRequestBesideSuspects is that of a request for another path than that of a suspect.
+// BenchmarkRequestBesideSuspects measures a request whose path no suspect has.
 func BenchmarkRequestBesideSuspects(b *testing.B) {
 	benchmarkGuard(b, directory.Suspect{Fingerprint: 1, Path: 1})
 }
 
-// BenchmarkRequestForSuspectedPath is that of a request of 1 KB for the path of a suspect.
+// BenchmarkRequestForSuspectedPath measures a request of 1 KB for the path of a suspect.
 func BenchmarkRequestForSuspectedPath(b *testing.B) {
-	_, path := printOf(b)
+	_, path := identityHashes(b)
 	benchmarkGuard(b, directory.Suspect{Fingerprint: 1, Path: path})
 }
--- a/internal/crashwatch/watch.go
+++ b/internal/crashwatch/watch.go
@@ -18,28 +18,29 @@
 )
 
 const (
-	// probePause is the time between the two connections that tell whether an instance that lost a
-	// request has ended: the first one may reach a process that is ending.
-	probePause = 400 * time.Millisecond
-	// probeTimeout bounds the wait for such a connection.
+	// probeInterval is the time between the two connection attempts that show whether an instance which lost a
+	// request has ended: the first one may still reach a process that is about to exit.
+	probeInterval = 400 * time.Millisecond
+	// probeTimeout limits each of these connection attempts.
 	probeTimeout = 250 * time.Millisecond
-	// mostProbes bounds the instances that are probed at the same time.
-	mostProbes = 64
+	// maxConcurrentProbes limits the instances that are probed at the same time.
+	maxConcurrentProbes = 64
 )
 
-// Watch finds the requests that were in flight at instances when these crashed. It is safe for
-// concurrent use.
+// Watch finds the requests that were in flight at instances when these crashed. It is safe for concurrent
+// use.
 type Watch struct {
-	clock   clock.Clock
-	log     *logrus.Entry
-	mutex   sync.Mutex
-	witness *quarantine.CrashDetector
-	// found takes the requests that were in flight at a crash.
-	found func([]quarantine.Loss)
-	// probed are the instances that are probed now, or wait for it.
-	probed map[directory.InstanceID]bool
-	// wanted has the instances that are to be probed.
-	wanted chan probeTarget
+	clock    clock.Clock
+	log      *logrus.Entry
+	mutex    sync.Mutex
+	detector *quarantine.CrashDetector
+	// onCrash is called with the requests that were in flight at a crash.
+	onCrash func([]quarantine.Loss)
+	// probing has the instances that are being probed or wait in probeQueue.
+	probing map[directory.InstanceID]bool
+	// probeQueue holds the instances to be probed. Its capacity is the limit on probing, so that sends to it
+	// do not block.
+	probeQueue chan probeTarget
 }
 
 // probeTarget is an instance that may have ended.
@@ -48,11 +49,11 @@
 	address string
 }
 
-// NewWatch returns a watch that tells a function of the requests that it found.
-func NewWatch(system clock.Clock, log *logrus.Entry, found func([]quarantine.Loss)) *Watch {
+// NewWatch returns a watch that calls onCrash with the requests that were in flight at a crash.
+func NewWatch(system clock.Clock, log *logrus.Entry, onCrash func([]quarantine.Loss)) *Watch {
 	return &Watch{
-		clock: system, log: log, found: found, witness: quarantine.NewCrashDetector(),
-		probed: make(map[directory.InstanceID]bool), wanted: make(chan probeTarget, mostProbes),
+		clock: system, log: log, onCrash: onCrash, detector: quarantine.NewCrashDetector(),
+		probing: make(map[directory.InstanceID]bool), probeQueue: make(chan probeTarget, maxConcurrentProbes),
 	}
 }
 
@@ -64,45 +65,45 @@
 		select {
 		case <-ctx.Done():
 			return
-		case target := <-w.wanted:
+		case target := <-w.probeQueue:
 			group.Go(func() { w.probe(ctx, target) })
 		}
 	}
 }
 
-// Lost takes a request that an instance left without an answer. Probe is true if the connection
-// ended, which the end of the instance would explain.
+// Lost records a request that an instance left unanswered. Probe is true if the connection was closed, which
+// may mean that the instance has ended.
 func (w *Watch) Lost(loss quarantine.Loss, address string, probe bool) {
 	w.mutex.Lock()
-	crashed := w.witness.Lost(w.clock.Now(), loss)
-	start := probe && len(crashed) == 0 && !w.probed[loss.Instance] && len(w.probed) < mostProbes
-	if start {
-		w.probed[loss.Instance] = true
+	crashed := w.detector.Lost(w.clock.Now(), loss)
+	startProbe := probe && len(crashed) == 0 && !w.probing[loss.Instance] && len(w.probing) < maxConcurrentProbes
+	if startProbe {
+		w.probing[loss.Instance] = true
 	}
 	w.mutex.Unlock()
-	w.report(crashed)
-	if start {
-		w.wanted <- probeTarget{loss.Instance, address}
+	w.reportCrash(crashed)
+	if startProbe {
+		w.probeQueue <- probeTarget{loss.Instance, address}
 	}
 }
 
-// probe finds out whether an instance has ended: nobody listens at its address then.
+// probe treats an instance as ended if its address refuses connections.
 func (w *Watch) probe(ctx context.Context, target probeTarget) {
 	refused := connectionRefused(target.address)
 	if !refused {
-		clock.Sleep(ctx, probePause)
+		clock.Sleep(ctx, probeInterval)
 		refused = connectionRefused(target.address)
 	}
 	w.mutex.Lock()
-	delete(w.probed, target.id)
+	delete(w.probing, target.id)
 	w.mutex.Unlock()
 	if refused {
-		w.ended(target.id)
+		w.confirmEnd(target.id)
 	}
 }
 
-// connectionRefused reports whether nobody listens at an address. A connection that is made proves
-// nothing: a proxy may stand between.
+// connectionRefused reports whether nothing listens at an address. A successful connection does not prove
+// that the instance is alive, because it may have been accepted by a proxy.
 func connectionRefused(address string) bool {
 	connection, err := net.DialTimeout("tcp", address, probeTimeout)
 	if err != nil {
@@ -112,49 +113,49 @@
 	return false
 }
 
-// ended takes a proof that an instance ended.
-func (w *Watch) ended(id directory.InstanceID) {
+// confirmEnd records a proof that an instance has ended, and reports the crash.
+func (w *Watch) confirmEnd(id directory.InstanceID) {
 	w.mutex.Lock()
-	crashed := w.witness.Ended(w.clock.Now(), id)
+	crashed := w.detector.Ended(w.clock.Now(), id)
 	w.mutex.Unlock()
-	w.report(crashed)
+	w.reportCrash(crashed)
 }
 
-// Check asks of each instance whose end would explain losses whether it has ended, as the caller knows
-// it: its address belongs to another instance, or its server lives again.
+// Check calls hasEnded for each instance with unexplained losses. The caller may know that an instance has
+// ended from the routing table: its address belongs to another instance, or its server has restarted.
 func (w *Watch) Check(hasEnded func(directory.InstanceID) bool) {
 	w.mutex.Lock()
-	waiting := w.witness.Waiting()
+	waiting := w.detector.Waiting()
 	w.mutex.Unlock()
 	for _, id := range waiting {
 		if hasEnded(id) {
-			w.ended(id)
+			w.confirmEnd(id)
 		}
 	}
 }
 
-// requestInFlight is a request that was in flight at a crash, in a log line.
+// requestInFlight describes, in a log line, a request that was in flight at a crash.
 type requestInFlight struct {
 	RequestID   string `json:"request_id"`
 	Fingerprint string `json:"fingerprint"`
 	RanMs       int64  `json:"ran_ms"`
 }
 
-// mostLogged bounds the requests that a log line names.
-const mostLogged = 16
+// maxLoggedRequests limits the requests listed in a log line.
+const maxLoggedRequests = 16
 
-func (w *Watch) report(crashed []quarantine.Loss) {
+func (w *Watch) reportCrash(crashed []quarantine.Loss) {
 	if len(crashed) == 0 {
 		return
 	}
-	w.found(crashed)
+	w.onCrash(crashed)
 	var requests []requestInFlight
-	for _, loss := range crashed[:min(len(crashed), mostLogged)] {
+	for _, loss := range crashed[:min(len(crashed), maxLoggedRequests)] {
 		requests = append(requests, requestInFlight{loss.RequestID, loss.Fingerprint.String(), (loss.Ended - loss.Began).Milliseconds()})
 	}
 	last := crashed[len(crashed)-1]
 	telemetry.With(w.log, telemetry.EventServerCrashed).WithField(telemetry.FieldServer, last.Instance).
 		WithField(telemetry.FieldService, last.Service).WithField(telemetry.FieldCount, len(crashed)).
 		WithField("requests", requests).WithField("age_ms", (w.clock.Now() - last.Ended).Milliseconds()).
-		Warn("an instance ended while requests ran at it")
+		Warn("instance ended while requests were in flight")
 }
--- a/internal/crashwatch/watch_test.go
+++ b/internal/crashwatch/watch_test.go
@@ -15,10 +15,10 @@
 	"github.com/thorntiller/thorntiller/internal/telemetry"
 )
 
-const patience = 30 * time.Second
+const crashTimeout = 30 * time.Second
 
-// TestLostConnectionsAreProbed: an instance that ended refuses connections, at once or a little later,
-// or its address belongs to another one; one that only closed a connection has not crashed.
+// TestLostConnectionsAreProbed: an instance has crashed if it refuses connections, at once or a little
+// later, or if its address belongs to another instance. An instance that only closed a connection has not.
 func TestLostConnectionsAreProbed(t *testing.T) {
 	found := make(chan []quarantine.Loss, 8)
 	system := clock.NewSystem()
@@ -52,25 +52,25 @@
 			if len(losses) != 1 || losses[0].Instance != want {
 				t.Errorf("crashes %+v, want of %s", losses, want)
 			}
-		case <-time.After(patience):
+		case <-time.After(crashTimeout):
 			t.Errorf("no crash of %s", want)
 		}
 	}
 	lose("ended", ended.Addr().String(), true)
 	expect("ended")
 	lose("ending", ending.Addr().String(), true)
-	time.Sleep(probePause / 4)
+	time.Sleep(probeInterval / 4)
 	_ = ending.Close()
 	expect("ending")
 	lose("replaced", alive.Addr().String(), false)
 	watch.Check(func(id directory.InstanceID) bool { return id == "replaced" })
 	expect("replaced")
 	lose("alive", alive.Addr().String(), true)
-	time.Sleep(probePause + probeTimeout)
+	time.Sleep(probeInterval + probeTimeout)
 	watch.Check(func(id directory.InstanceID) bool { return id != "alive" })
 	select {
 	case losses := <-found:
-		t.Errorf("crashes %+v of an instance that lives", losses)
+		t.Errorf("crashes %+v of an instance that is alive", losses)
 	default:
 	}
 	_ = alive.Close()
