--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -142,7 +142,7 @@
 	gateway.guard = gateway.demand.guard
 	gateway.crashes = crashwatch.NewWatch(system, log, gateway.guard.Crashed)
 	gateway.guard.RegisterMetrics(gateway.registry)
-	gateway.subscription.joined = gateway.guard.Join
+	gateway.subscription.joined = gateway.guard.SetSecret
 	gateway.tenantTokens, gateway.instanceTokens = gateway.demand.tenants, gateway.demand.instances
 	gateway.subscription.changed = gateway.tableChanged
 	gateway.places = newPlaces(system, settings, log, newPlaceKeeper(system, gateway.mayKeep), meter)
@@ -159,7 +159,7 @@
 	g.drains.note(table)
 	g.evacuations.note(table)
 	g.noteEnded(table)
-	g.guard.Take(table.Suspects)
+	g.guard.SetSuspects(table.Suspects)
 	known := table.Knows
 	g.coldStarts.note(g.clock.Now(), table, known)
 	g.unreachable.forget(known)
