--- a/internal/crashwatch/guard.go
+++ b/internal/crashwatch/guard.go
@@ -28,11 +28,11 @@
 	urgent chan struct{}
 }
 
-// NewGuard returns the guard of a process. It puts a request in quarantine by itself after the given number
-// of crashes that no leader has acknowledged. Urgent receives a value when a report should be sent to the
+// NewGuard returns the guard of a process. It puts a request in quarantine by itself after crashThreshold
+// crashes that no leader has acknowledged. Urgent receives a value when a report should be sent to the
 // leader at once.
-func NewGuard(system clock.Clock, process string, crashes int, urgent chan struct{}) *Guard {
-	guard := &Guard{clock: system, guard: quarantine.NewGuard(process, crashes), urgent: urgent}
+func NewGuard(system clock.Clock, process string, crashThreshold int, urgent chan struct{}) *Guard {
+	guard := &Guard{clock: system, guard: quarantine.NewGuard(process, crashThreshold), urgent: urgent}
 	guard.idle.Store(true)
 	return guard
 }
@@ -271,7 +271,7 @@
 	ConnectionEnded bool
 }
 
-// Lost tells the watch of an attempt that may have ended because its instance did.
+// Lost reports to the watch an attempt that may have ended because its instance did.
 func (g *Guard) Lost(watch *Watch, request *Request, attempt Attempt) {
 	fingerprint, known := g.computeFingerprint(request)
 	if !known {
--- a/internal/quarantine/guard.go
+++ b/internal/quarantine/guard.go
@@ -194,8 +194,8 @@
 	}
 }
 
-// Rejected records that a quarantined request was received again, and reports whether the leader is to be
-// told.
+// Rejected records that a quarantined request was received again, and returns whether the leader should get
+// a report of it now.
 func (g *Guard) Rejected(now time.Duration, fingerprint directory.Fingerprint) bool {
 	if local, found := g.localSuspects[fingerprint]; found {
 		local.lastSeenAt = now
@@ -237,7 +237,8 @@
 	}
 }
 
-// Answered records that an instance answered a request, and reports whether the leader is to be told.
+// Answered records that an instance answered a request, and returns whether the leader should get a report
+// of it now.
 func (g *Guard) Answered(now time.Duration, fingerprint directory.Fingerprint) bool {
 	if !g.Suspected(fingerprint) {
 		return false
