--- a/internal/gateway/placekeeper.go
+++ b/internal/gateway/placekeeper.go
@@ -96,7 +96,7 @@
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	delete(k.askers, asker)
-	k.core.Lose(k.clock.Now(), asker)
+	k.core.Disconnect(k.clock.Now(), asker)
 }
 
 // take takes a message of an asker.
@@ -142,7 +142,7 @@
 // tell hands the answers that are due to their askers. The mutex must be held.
 func (k *placeKeeper) tell() {
 	due := make(map[room.Asker][]message.PlaceAnswer)
-	for _, answer := range k.core.Take() {
+	for _, answer := range k.core.TakeAnswers() {
 		told := message.PlaceAnswer{
 			Number: uint32(answer.ID.Number), Verdict: uint8(answer.Verdict), WaitMs: uint32(answer.Wait.Milliseconds()),
 		}
