--- a/internal/coordinator/planner.go
+++ b/internal/coordinator/planner.go
@@ -46,13 +46,13 @@
 	if pool, found := p.pools[service]; found {
 		return pool
 	}
-	var candidates []placement.Taker
+	var candidates []placement.Target
 	for _, server := range p.view.ServersOf(service) {
 		tracker := p.trackers[server.ID]
 		if tracker == nil || !p.acceptsShards(server) {
 			continue
 		}
-		candidates = append(candidates, placement.Taker{
+		candidates = append(candidates, placement.Target{
 			Server: placementServer(server, tracker, true),
 			Load:   p.balancer.serverLoad(service, server.ID),
 			Shards: p.view.OwnedCount(server.ID),
--- a/internal/lab/experiment/strategy_placement.go
+++ b/internal/lab/experiment/strategy_placement.go
@@ -167,9 +167,9 @@
 	if len(orphans) == 0 {
 		return nil
 	}
-	takers := make([]placement.Taker, 0, len(seen.servers))
+	takers := make([]placement.Target, 0, len(seen.servers))
 	for number := range seen.servers {
-		takers = append(takers, placement.Taker{Server: o.servers[number], Load: carried[number], Shards: counts[number]})
+		takers = append(takers, placement.Target{Server: o.servers[number], Load: carried[number], Shards: counts[number]})
 	}
 	var chosen []assignment
 	for _, given := range placement.Assign(seen.now, o.limits, takers, orphans) {
--- a/internal/placement/assign.go
+++ b/internal/placement/assign.go
@@ -9,8 +9,8 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
-// Taker is a server that can take shards, with what it carries already.
-type Taker struct {
+// Target is a server that can take shards, with what it carries already.
+type Target struct {
 	Server
 	// Load and Shards are those that the server owns.
 	Load   float64
@@ -41,7 +41,7 @@
 // zone. It costs O((n + m) log(n + m)) for n servers and m orphans, and is
 // meant for the path that recovers from a loss. Orphans that no server can
 // take are left out.
-func Assign(now time.Duration, limits Limits, takers []Taker, orphans []Orphan) []Assignment {
+func Assign(now time.Duration, limits Limits, takers []Target, orphans []Orphan) []Assignment {
 	load := 0.0
 	for _, orphan := range orphans {
 		load += sane(orphan.Load)
@@ -81,7 +81,7 @@
 
 // NewPool returns a pool of those takers that accept shards. Load and shards
 // are what is to be given away, as far as it is known.
-func NewPool(now time.Duration, limits Limits, takers []Taker, load float64, shards int) *Pool {
+func NewPool(now time.Duration, limits Limits, takers []Target, load float64, shards int) *Pool {
 	for _, taker := range takers {
 		load += sane(taker.Load)
 		shards += taker.Shards
@@ -108,16 +108,16 @@
 }
 
 // inTurns orders servers so that zones alternate.
-func inTurns(takers []Taker) []Taker {
+func inTurns(takers []Target) []Target {
 	ordered := slices.Clone(takers)
-	slices.SortFunc(ordered, func(a, b Taker) int { return cmp.Compare(a.ID, b.ID) })
+	slices.SortFunc(ordered, func(a, b Target) int { return cmp.Compare(a.ID, b.ID) })
 	seen := make(map[string]int)
 	rank := make(map[state.ServerID]int, len(ordered))
 	for _, taker := range ordered {
 		rank[taker.ID] = seen[taker.Zone]
 		seen[taker.Zone]++
 	}
-	slices.SortStableFunc(ordered, func(a, b Taker) int {
+	slices.SortStableFunc(ordered, func(a, b Target) int {
 		return cmp.Or(cmp.Compare(rank[a.ID], rank[b.ID]), cmp.Compare(a.Zone, b.Zone))
 	})
 	return ordered
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -260,9 +260,9 @@
 }
 
 func TestAssignSpreads(t *testing.T) {
-	takers := make([]Taker, 0, 6)
+	takers := make([]Target, 0, 6)
 	for number := range 6 {
-		takers = append(takers, Taker{Server: Server{
+		takers = append(takers, Target{Server: Server{
 			ID: state.ServerID(fmt.Sprintf("s%d", number)), Zone: string(rune('a' + number/2)), Slots: 2, Accepts: number != 5,
 		}})
 	}
@@ -285,9 +285,9 @@
 
 func BenchmarkAssign(b *testing.B) {
 	for _, count := range []int{1_000, 10_000, 100_000} {
-		var takers []Taker
+		var takers []Target
 		for number := range 300 {
-			takers = append(takers, Taker{Server: Server{ID: state.ServerID(fmt.Sprintf("s%03d", number)), Zone: string(rune('a' + number%3)), Slots: 4, Accepts: true}})
+			takers = append(takers, Target{Server: Server{ID: state.ServerID(fmt.Sprintf("s%03d", number)), Zone: string(rune('a' + number%3)), Slots: 4, Accepts: true}})
 		}
 		random := rand.New(rand.NewPCG(1, 1))
 		orphans := make([]Orphan, count)
