--- a/internal/coordinator/planner.go
+++ b/internal/coordinator/planner.go
@@ -30,7 +30,7 @@
 		return target, true
 	}
 	orphan := placement.Orphan{Shard: shard.ID, Load: p.balancer.shardLoad(shard.Service, shard.ID), Except: shard.Owner}
-	chosen, found := p.ensurePool(shard.Service).Take(orphan)
+	chosen, found := p.ensurePool(shard.Service).Assign(orphan)
 	if !found {
 		return state.Server{}, false
 	}
--- a/internal/placement/assign.go
+++ b/internal/placement/assign.go
@@ -53,7 +53,7 @@
 	})
 	assignments := make([]Assignment, 0, len(ordered))
 	for _, orphan := range ordered {
-		if target, found := pool.Take(orphan); found {
+		if target, found := pool.Assign(orphan); found {
 			assignments = append(assignments, Assignment{Shard: orphan.Shard, To: target})
 		}
 	}
@@ -126,9 +126,9 @@
 // Len returns how many servers the pool has.
 func (p *Pool) Len() int { return len(p.entries) }
 
-// Take gives the orphan to the least loaded server that may have it. It returns
+// Assign gives the orphan to the least loaded server that may have it. It returns
 // false when there is none.
-func (p *Pool) Take(orphan Orphan) (state.ServerID, bool) {
+func (p *Pool) Assign(orphan Orphan) (state.ServerID, bool) {
 	position := 0
 	if len(p.entries) > 0 && p.entries[0].id == orphan.Except {
 		position = p.entries.second()
