--- a/internal/placement/assign.go
+++ b/internal/placement/assign.go
@@ -9,10 +9,10 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
-// Target is a server that can take shards, with what it carries already.
+// Target is a server that can be assigned shards, with its present load.
 type Target struct {
 	Server
-	// Load and Shards are those that the server owns.
+	// Load is the load of the shards that the server owns, Shards their number.
 	Load   float64
 	Shards int
 }
@@ -22,7 +22,7 @@
 	Shard state.ShardID
 	// Load is zero when it is not known.
 	Load float64
-	// Except is a server that may not get the shard, if any.
+	// Except is a server that must not get the shard; empty for none.
 	Except state.ServerID
 }
 
@@ -32,90 +32,94 @@
 	To    state.ServerID
 }
 
-// baseShare is what each shard weighs besides its load, as a share of the mean
-// load of a shard, so that shards without load are spread as well.
-const baseShare = 0.1
-
-// Assign chooses an owner for each orphan: the busiest first, each to the
-// server that is then least loaded for its slots. Equal servers take turns by
-// zone. It costs O((n + m) log(n + m)) for n servers and m orphans, and is
-// meant for the path that recovers from a loss. Orphans that no server can
-// take are left out.
-func Assign(now time.Duration, limits Limits, takers []Target, orphans []Orphan) []Assignment {
+// baseWeightShare is the weight that each shard has in addition to its load, as a
+// share of the mean load of a shard, so that shards without load are spread as
+// well.
+const baseWeightShare = 0.1
+
+// Assign chooses an owner for each orphan, in descending order of load: the
+// server with the lowest load per slot at that point. Among equally loaded
+// servers, zones alternate. Orphans that no server can take are left out. It
+// takes O((n + m) log(n + m)) for n servers and m orphans, and is meant for the
+// recovery from the loss of servers.
+func Assign(now time.Duration, limits Limits, targets []Target, orphans []Orphan) []Assignment {
 	load := 0.0
 	for _, orphan := range orphans {
-		load += sane(orphan.Load)
+		load += sanitizeLoad(orphan.Load)
 	}
-	pool := NewPool(now, limits, takers, load, len(orphans))
+	pool := NewPool(now, limits, targets, load, len(orphans))
 	ordered := slices.Clone(orphans)
 	slices.SortFunc(ordered, func(a, b Orphan) int {
-		return cmp.Or(cmp.Compare(sane(b.Load), sane(a.Load)), cmp.Compare(a.Shard, b.Shard))
+		return cmp.Or(cmp.Compare(sanitizeLoad(b.Load), sanitizeLoad(a.Load)), cmp.Compare(a.Shard, b.Shard))
 	})
 	assignments := make([]Assignment, 0, len(ordered))
 	for _, orphan := range ordered {
-		if target, found := pool.Assign(orphan); found {
-			assignments = append(assignments, Assignment{Shard: orphan.Shard, To: target})
+		if server, found := pool.Assign(orphan); found {
+			assignments = append(assignments, Assignment{Shard: orphan.Shard, To: server})
 		}
 	}
 	return assignments
 }
 
-// entry is one server in the pool.
+// entry is one server of a pool.
 type entry struct {
 	id state.ServerID
-	// weight is its load with the base of each shard; capacity its slots, less
-	// while it is cold.
+	// weight is the server's load plus the base weight of each of its shards.
+	// capacity is the number of its slots, reduced while it ramps up.
 	weight   float64
 	capacity float64
-	// key is the weight per capacity after one more shard.
-	key float64
-	// turn orders equal servers: by position within the zone, then by zone.
-	turn int
+	// relativeWeight is the weight per capacity if the server had one more shard
+	// without load.
+	relativeWeight float64
+	// rank orders servers of equal relativeWeight: by position within the zone,
+	// then by zone.
+	rank int
 }
 
-// Pool is the servers that can take shards, the least loaded first.
+// Pool holds the servers that can be assigned shards, the least loaded first.
 type Pool struct {
-	entries entries
-	base    float64
+	entries    entries
+	baseWeight float64
 }
 
-// NewPool returns a pool of those takers that accept shards. Load and shards
-// are what is to be given away, as far as it is known.
-func NewPool(now time.Duration, limits Limits, takers []Target, load float64, shards int) *Pool {
-	for _, taker := range takers {
-		load += sane(taker.Load)
-		shards += taker.Shards
+// NewPool returns a pool of those targets that accept shards. The parameters load
+// and shards are the total load and the number of the shards that are to be
+// assigned, as far as they are known. They count towards the base weight.
+func NewPool(now time.Duration, limits Limits, targets []Target, load float64, shards int) *Pool {
+	for _, target := range targets {
+		load += sanitizeLoad(target.Load)
+		shards += target.Shards
 	}
-	p := &Pool{base: 1}
+	p := &Pool{baseWeight: 1}
 	if load > 0 {
-		p.base = baseShare * load / float64(max(shards, 1))
+		p.baseWeight = baseWeightShare * load / float64(max(shards, 1))
 	}
-	for _, taker := range inTurns(takers) {
-		if !taker.Accepts {
+	for _, target := range interleaveZones(targets) {
+		if !target.Accepts {
 			continue
 		}
-		known := &entry{
-			id:       taker.ID,
-			weight:   sane(taker.Load) + p.base*float64(taker.Shards),
-			capacity: float64(max(taker.Slots, 1)) * warmth(taker.Server, now, limits),
-			turn:     len(p.entries),
+		server := &entry{
+			id:       target.ID,
+			weight:   sanitizeLoad(target.Load) + p.baseWeight*float64(target.Shards),
+			capacity: float64(max(target.Slots, 1)) * rampFactor(target.Server, now, limits),
+			rank:     len(p.entries),
 		}
-		known.key = (known.weight + p.base) / known.capacity
-		p.entries = append(p.entries, known)
+		server.relativeWeight = (server.weight + p.baseWeight) / server.capacity
+		p.entries = append(p.entries, server)
 	}
 	heap.Init(&p.entries)
 	return p
 }
 
-// inTurns orders servers so that zones alternate.
-func inTurns(takers []Target) []Target {
-	ordered := slices.Clone(takers)
+// interleaveZones returns the targets in an order in which zones alternate.
+func interleaveZones(targets []Target) []Target {
+	ordered := slices.Clone(targets)
 	slices.SortFunc(ordered, func(a, b Target) int { return cmp.Compare(a.ID, b.ID) })
-	seen := make(map[string]int)
+	zoneCounts := make(map[string]int)
 	rank := make(map[state.ServerID]int, len(ordered))
-	for _, taker := range ordered {
-		rank[taker.ID] = seen[taker.Zone]
-		seen[taker.Zone]++
+	for _, target := range ordered {
+		rank[target.ID] = zoneCounts[target.Zone]
+		zoneCounts[target.Zone]++
 	}
 	slices.SortStableFunc(ordered, func(a, b Target) int {
 		return cmp.Or(cmp.Compare(rank[a.ID], rank[b.ID]), cmp.Compare(a.Zone, b.Zone))
@@ -123,11 +127,11 @@
 	return ordered
 }
 
-// Len returns how many servers the pool has.
+// Len returns the number of servers in the pool.
 func (p *Pool) Len() int { return len(p.entries) }
 
-// Assign gives the orphan to the least loaded server that may have it. It returns
-// false when there is none.
+// Assign assigns the orphan to the least loaded server that is not excepted. It
+// returns false if there is none.
 func (p *Pool) Assign(orphan Orphan) (state.ServerID, bool) {
 	position := 0
 	if len(p.entries) > 0 && p.entries[0].id == orphan.Except {
@@ -137,16 +141,16 @@
 		return "", false
 	}
 	chosen := p.entries[position]
-	chosen.weight += sane(orphan.Load) + p.base
-	chosen.key = (chosen.weight + p.base) / chosen.capacity
+	chosen.weight += sanitizeLoad(orphan.Load) + p.baseWeight
+	chosen.relativeWeight = (chosen.weight + p.baseWeight) / chosen.capacity
 	heap.Fix(&p.entries, position)
 	return chosen.id, true
 }
 
-// entries is a heap of servers.
+// entries is a min-heap of servers.
 type entries []*entry
 
-// second returns the position of the second server in order, or -1.
+// second returns the position of the server with the second-lowest weight, or -1.
 func (e entries) second() int {
 	switch {
 	case len(e) < 2:
@@ -161,13 +165,12 @@
 // Len implements heap.Interface.
 func (e entries) Len() int { return len(e) }
 
-// Less implements heap.Interface: the server with less weight for its capacity
-// after one more shard goes first.
+// Less implements heap.Interface. It orders by relativeWeight, then by rank.
 func (e entries) Less(i, j int) bool {
-	if e[i].key != e[j].key {
-		return e[i].key < e[j].key
+	if e[i].relativeWeight != e[j].relativeWeight {
+		return e[i].relativeWeight < e[j].relativeWeight
 	}
-	return e[i].turn < e[j].turn
+	return e[i].rank < e[j].rank
 }
 
 // Swap implements heap.Interface.
@@ -179,17 +182,17 @@
 // Pop implements heap.Interface.
 func (e *entries) Pop() any {
 	last := len(*e) - 1
-	taken := (*e)[last]
+	popped := (*e)[last]
 	*e = (*e)[:last]
-	return taken
+	return popped
 }
 
-// warmth is the share of its full load that a server may carry: it rises from
-// coldStart to 1 during the ramp.
-func warmth(server Server, now time.Duration, limits Limits) float64 {
+// rampFactor returns the share of its full load that a server may carry: it rises
+// linearly from coldStartShare to 1 during the ramp.
+func rampFactor(server Server, now time.Duration, limits Limits) float64 {
 	age := now - server.ReadyAt
 	if limits.Ramp <= 0 || age >= limits.Ramp {
 		return 1
 	}
-	return coldStart + (1-coldStart)*max(age.Seconds(), 0)/limits.Ramp.Seconds()
+	return coldStartShare + (1-coldStartShare)*max(age.Seconds(), 0)/limits.Ramp.Seconds()
 }
--- a/internal/placement/candidate.go
+++ b/internal/placement/candidate.go
@@ -7,18 +7,22 @@
 )
 
 const (
-	// targetStep rounds utilizations, as a share of the mean, when targets are
-	// compared: within one step the emptier zone goes first.
-	targetStep = 0.05
-	// targetScan bounds the servers of each zone that are looked at as targets.
-	targetScan = 16
-	// isolateShare is the least load of a key that is worth a shard of its own,
-	// as a share of the mean load of a server.
-	isolateShare = 0.1
-	// coldStart is the share of its load that a server takes when it is new.
-	coldStart = 0.2
-	// minimumStep keeps the rounding defined while there is no load.
-	minimumStep = 1e-9
+	// utilizationStep is the step to which utilizations are rounded when targets
+	// of different zones are compared, as a share of the mean. Within one step
+	// the target in the less utilized zone is preferred.
+	utilizationStep = 0.05
+	// maxZoneTargets bounds the servers of each zone that are considered as
+	// targets.
+	maxZoneTargets = 16
+	// minIsolateShare is the lowest load at which a key may be split off into a
+	// shard of its own, as a share of the mean load of a server.
+	minIsolateShare = 0.1
+	// coldStartShare is the share of its full load that a server may carry when it
+	// begins to accept shards.
+	coldStartShare = 0.2
+	// epsilon is the tolerance for rounding errors and the lower bound of steps
+	// and loads that must not be zero while there is no load.
+	epsilon = 1e-9
 )
 
 // candidate is a move that the search considers.
@@ -26,37 +30,39 @@
 	position int
 	target   *host
 	isolate  bool
-	// net is the fall of the owner's utilization less the price of the move.
-	net float64
+	// netBenefit is the benefit of the owner's lower utilization less the weighted
+	// cost of the move.
+	netBenefit float64
 }
 
-// tryBest applies the move off the hottest server that brings most for its
-// price. It returns false when none brings anything.
-func (s *search) tryBest() bool {
+// applyBestMove applies the move off the hottest server that has the highest net
+// benefit. It returns false if no move has a positive one.
+func (s *search) applyBestMove() bool {
 	hottest := s.layout.hottest()
 	if hottest == nil {
 		return false
 	}
 	best := candidate{}
 	for _, position := range hottest.shards {
-		known := &s.layout.records[position]
-		if s.layout.resting(known) {
+		shard := &s.layout.records[position]
+		if s.layout.excludedFromBalance(shard) {
 			continue
 		}
 		s.consider(&best, hottest, candidate{position: position})
-		if s.isolable(known.Shard) {
+		if s.canIsolate(shard.Shard) {
 			s.consider(&best, hottest, candidate{position: position, isolate: true})
 		}
 	}
-	if best.net <= 0 {
+	if best.netBenefit <= 0 {
 		return false
 	}
-	s.take(best)
+	s.applyCandidate(best)
 	return true
 }
 
-// part returns the shard that a candidate would move.
-func (s *search) part(option candidate) Shard {
+// shardToMove returns the shard that a candidate moves: the whole one, or its
+// busiest key.
+func (s *search) shardToMove(option candidate) Shard {
 	shard := s.layout.records[option.position].Shard
 	if option.isolate {
 		shard.Range = state.KeyRange{First: shard.HotHash, Last: shard.HotHash}
@@ -65,71 +71,77 @@
 	return shard
 }
 
+// consider replaces best by option if option is better.
 func (s *search) consider(best *candidate, owner *host, option candidate) {
-	moved := s.part(option)
-	if s.bound(owner, moved) <= best.net {
+	moved := s.shardToMove(option)
+	if s.maxNetBenefit(owner, moved) <= best.netBenefit {
 		return
 	}
-	option.target = s.layout.targetFor(&s.layout.records[option.position], moved.Load, owner, true)
+	option.target = s.layout.findTarget(&s.layout.records[option.position], moved.Load, owner, true)
 	if option.target == nil {
 		return
 	}
 	ownerAfter := (owner.load - moved.Load) / float64(owner.Slots)
 	targetAfter := (option.target.load + moved.Load) / float64(option.target.Slots)
-	option.net = s.net(moved, owner.utilization()-max(ownerAfter, targetAfter))
-	if option.net > best.net || (option.net == best.net && s.precedes(option, *best)) {
+	option.netBenefit = s.netBenefit(moved, owner.utilization()-max(ownerAfter, targetAfter))
+	if option.netBenefit > best.netBenefit || (option.netBenefit == best.netBenefit && s.precedes(option, *best)) {
 		*best = option
 	}
 }
 
-// bound is the most that a move of the shard can bring, whatever the target.
-func (s *search) bound(owner *host, moved Shard) float64 {
-	return s.net(moved, moved.Load/float64(owner.Slots)) + minimumStep
+// maxNetBenefit returns an upper bound of the net benefit of moving the shard to
+// any target.
+func (s *search) maxNetBenefit(owner *host, moved Shard) float64 {
+	return s.netBenefit(moved, moved.Load/float64(owner.Slots)) + epsilon
 }
 
-// net is the worth of a fall of utilization less the price of the move.
-func (s *search) net(moved Shard, gain float64) float64 {
-	if gain <= 0 {
+// netBenefit returns the benefit that a reduction of utilization has over the
+// horizon, less the cost of the move multiplied by MinBenefitRatio.
+func (s *search) netBenefit(moved Shard, reduction float64) float64 {
+	if reduction <= 0 {
 		return 0
 	}
 	limits := s.layout.limits
-	value := s.layout.weights.Imbalance * gain / s.layout.mean() * limits.Horizon.Hours()
-	return value - limits.PayFactor*s.price(moved)
+	value := s.layout.weights.Imbalance * reduction / s.layout.meanUtilization() * limits.Horizon.Hours()
+	return value - limits.MinBenefitRatio*s.moveCost(moved)
 }
 
-// precedes orders candidates of equal worth by their place in the key space.
+// precedes orders candidates of equal net benefit by their place in the key
+// space.
 func (s *search) precedes(a, b candidate) bool {
 	return b.target != nil && s.layout.records[a.position].Range.First < s.layout.records[b.position].Range.First
 }
 
-// targetFor returns the server that should take a shard, or nil. With ramp set,
-// servers that are still cold stay below their part of the mean.
-func (l *Layout) targetFor(known *record, load float64, owner *host, ramp bool) *host {
+// findTarget returns the server that should get a shard, or nil. With balancing
+// set, it excludes servers that the shard left recently and those that the load
+// would take beyond their ramp limit.
+func (l *Layout) findTarget(shard *record, load float64, owner *host, balancing bool) *host {
 	var best *host
-	step := max(l.mean()*targetStep, minimumStep)
-	for _, option := range l.zones {
-		found := l.targetIn(option, known, load, owner, ramp)
-		if found != nil && (best == nil || compareTargets(found, best, step) < 0) {
-			best = found
+	step := max(l.meanUtilization()*utilizationStep, epsilon)
+	for _, zone := range l.zones {
+		target := l.findTargetInZone(zone, shard, load, owner, balancing)
+		if target != nil && (best == nil || compareTargets(target, best, step) < 0) {
+			best = target
 		}
 	}
 	return best
 }
 
-func (l *Layout) targetIn(option *zone, known *record, load float64, owner *host, ramp bool) *host {
-	for _, target := range option.hosts[:min(targetScan, len(option.hosts))] {
-		if target == owner || (ramp && l.hasLeft(known, target.ID)) {
+// findTargetInZone returns the least utilized server of a zone that findTarget may
+// choose, or nil.
+func (l *Layout) findTargetInZone(zone *zone, shard *record, load float64, owner *host, balancing bool) *host {
+	for _, target := range zone.hosts[:min(maxZoneTargets, len(zone.hosts))] {
+		if target == owner || (balancing && l.leftRecently(shard, target.ID)) {
 			continue
 		}
-		if !ramp || l.hasRoom(target, load) {
+		if !balancing || l.withinRampLimit(target, load) {
 			return target
 		}
 	}
 	return nil
 }
 
-// compareTargets orders servers of different zones, the one to fill first at
-// the head.
+// compareTargets orders servers of different zones, the preferred target first.
 func compareTargets(a, b *host, step float64) int {
 	return cmp.Or(
 		cmp.Compare(int64(a.utilization()/step), int64(b.utilization()/step)),
@@ -138,29 +150,30 @@
 	)
 }
 
-// hasRoom keeps a server that is still cold below its part of the mean.
-func (l *Layout) hasRoom(target *host, load float64) bool {
-	warm := warmth(target.Server, l.now, l.limits)
-	if warm >= 1 {
+// withinRampLimit reports whether a server could take the load and, while it ramps
+// up, stay within its share of the mean utilization.
+func (l *Layout) withinRampLimit(target *host, load float64) bool {
+	factor := rampFactor(target.Server, l.now, l.limits)
+	if factor >= 1 {
 		return true
 	}
-	return (target.load+load)/float64(target.Slots) <= warm*l.mean()
+	return (target.load+load)/float64(target.Slots) <= factor*l.meanUtilization()
 }
 
-// isolable reports whether a shard holds a key that is worth a shard of its
-// own, and whether there may be more shards.
-func (s *search) isolable(shard Shard) bool {
-	perServer := s.layout.total / float64(s.layout.accepting)
+// canIsolate reports whether a shard's busiest key has enough load for a shard of
+// its own, and whether the number of shards may grow.
+func (s *search) canIsolate(shard Shard) bool {
+	meanServerLoad := s.layout.total / float64(s.layout.accepting)
 	return shard.Range.First != shard.Range.Last && shard.Range.Contains(shard.HotHash) &&
-		shard.Load*shard.HotShare >= isolateShare*perServer && s.mayGrow()
+		shard.Load*shard.HotShare >= minIsolateShare*meanServerLoad && s.canAddShard()
 }
 
-// mayGrow bounds the number of shards.
-func (s *search) mayGrow() bool {
+// canAddShard reports whether the number of shards is below its limit.
+func (s *search) canAddShard() bool {
 	return len(s.layout.positions) < 2*s.layout.limits.ShardsPerServer*s.layout.accepting
 }
 
-func (s *search) take(best candidate) {
+func (s *search) applyCandidate(best candidate) {
 	if !best.isolate {
 		s.apply(best.position, best.target, ReasonBalance)
 		s.layout.records[best.position].pinned = true
@@ -169,8 +182,8 @@
 	parent := s.layout.records[best.position]
 	owner := s.layout.hosts[parent.Owner]
 	ownerLoad := owner.load
-	created := s.layout.isolate(best.position)
-	s.apply(created, best.target, ReasonHotKey)
+	keyPosition := s.layout.isolate(best.position)
+	s.apply(keyPosition, best.target, ReasonHotKey)
 	planned := &s.planned[len(s.planned)-1]
 	planned.parent = best.position
 	planned.parentLoad = parent.Load
--- a/internal/placement/decide.go
+++ b/internal/placement/decide.go
@@ -9,26 +9,26 @@
 
 // Bounds of the search.
 const (
-	// lookaheadPerServer bounds the moves that are tried before their sum must
-	// pay: while several servers are equally hot, no single move lowers the
-	// maximum.
+	// lookaheadPerServer bounds the moves, per accepting server, that are tried
+	// in one run before they must pay off together: while several servers are
+	// equally hot, no single move lowers the maximum.
 	lookaheadPerServer = 2
-	// maxLookahead bounds one such run in a large service.
+	// maxLookahead bounds the moves of one run in a large service.
 	maxLookahead = 256
-	// maxPlanned bounds the moves that one decision looks at, deferred ones
-	// included.
+	// maxPlanned bounds the moves that one decision plans, deferred ones included.
 	maxPlanned = 1024
-	// planAhead is how many times the moves that may begin a decision looks at.
-	planAhead = 4
-	// maxRuns bounds the runs of tries in one decision.
+	// planAheadFactor is the ratio of the moves that a decision plans to those
+	// that may start now.
+	planAheadFactor = 4
+	// maxRuns bounds the runs of one decision.
 	maxRuns = 512
-	// maxExhausted bounds the servers that one decision sets aside because
-	// nothing relieves them.
-	maxExhausted = 64
+	// maxExcluded bounds the servers that one decision excludes because no run
+	// of moves off them pays off.
+	maxExcluded = 64
 )
 
-// Decide returns the decision on a whole problem. A caller that decides again
-// and again keeps a Layout instead, which costs only what changed.
+// Decide returns the decision for a complete problem. A caller that decides
+// repeatedly should keep a Layout instead, whose cost depends on what changed.
 func Decide(problem Problem) Decision {
 	layout := NewLayout(problem.Weights, problem.Limits)
 	for _, server := range problem.Servers {
@@ -37,14 +37,15 @@
 	for _, shard := range problem.Shards {
 		layout.PutShard(problem.Now, shard)
 	}
-	layout.remember(problem.History)
+	layout.applyHistory(problem.History)
 	layout.assumeCold(problem.Now)
 	return layout.Decide(problem.Now)
 }
 
-// Decide returns the moves, splits and merges that pay for themselves. First
-// come the moves off servers that no longer accept shards; they need not pay.
-// The layout stays as it is: the caller reports what was carried out.
+// Decide returns the moves, splits and merges to make. Moves off servers that no
+// longer accept shards come first, whatever they cost; moves for balance must
+// pay off. Decide does not change the layout: the caller reports what was carried
+// out.
 func (l *Layout) Decide(now time.Duration) Decision {
 	l.prepare(now)
 	search := &search{layout: l}
@@ -53,57 +54,58 @@
 		return decision
 	}
 	search.evacuate()
-	if l.mean() > 0 {
+	if l.meanUtilization() > 0 {
 		search.balance()
 	}
 	decision.After = l.measure()
 	decision.Benefit = search.benefit
 	decision.Cost = search.cost
-	search.emit(&decision)
-	decision.Splits = search.splits()
+	search.selectMoves(&decision)
+	decision.Splits = search.findSplits()
 	search.merge(&decision)
 	search.undoTo(0)
-	search.release()
+	search.clearMarks()
 	return decision
 }
 
-// search builds one decision.
+// search is the state of one decision.
 type search struct {
 	layout  *Layout
 	planned []step
-	// evacuations counts the steps at the head of planned that need not pay.
+	// evacuations is the number of steps at the head of planned that need not pay
+	// off.
 	evacuations   int
 	benefit, cost float64
-	exhausted     []*host
-	// cutting holds the shards that are to be split.
-	cutting []int
+	excluded      []*host
+	// splitting holds the positions of the shards that are to be split.
+	splitting []int
 }
 
-// step is one planned move, with what is needed to undo it exactly.
+// step is one planned move, with the state that is needed to undo it exactly.
 type step struct {
 	move     Move
 	position int
 	from, to *host
-	// fromLoad and toLoad are the loads before the step.
+	// fromLoad and toLoad are the loads of the two servers before the step.
 	fromLoad, toLoad float64
-	// parent is the shard that an isolated key was cut from, or -1; parentLoad
-	// is its load before.
+	// parent is the position of the shard that an isolated key was split off, or
+	// -1. parentLoad is that shard's load before the step.
 	parent     int
 	parentLoad float64
 	cost       float64
 }
 
-// evacuate moves every shard off the servers that do not accept.
+// evacuate plans to move every shard off the servers that do not accept shards.
 func (s *search) evacuate() {
-	for _, leaving := range s.layout.leavers() {
-		positions := slices.Clone(leaving.shards)
+	for _, owner := range s.layout.leavingHosts() {
+		positions := slices.Clone(owner.shards)
 		slices.SortFunc(positions, func(a, b int) int {
 			return compareLoads(s.layout.records[a].Shard, s.layout.records[b].Shard)
 		})
 		for _, position := range positions {
-			known := &s.layout.records[position]
-			target := s.layout.targetFor(known, known.Load, leaving, false)
-			if known.Moving || target == nil || len(s.planned) == maxPlanned {
+			shard := &s.layout.records[position]
+			target := s.layout.findTarget(shard, shard.Load, owner, false)
+			if shard.Moving || target == nil || len(s.planned) == maxPlanned {
 				continue
 			}
 			s.apply(position, target, ReasonEvacuate)
@@ -113,19 +115,20 @@
 	s.evacuations = len(s.planned)
 }
 
-// leavers returns the servers that own shards and do not accept.
-func (l *Layout) leavers() []*host {
-	var leavers []*host
-	for _, known := range l.hosts {
-		if !known.Accepts && len(known.shards) > 0 {
-			leavers = append(leavers, known)
+// leavingHosts returns the servers that own shards but do not accept any, in the
+// order of their IDs.
+func (l *Layout) leavingHosts() []*host {
+	var leaving []*host
+	for _, server := range l.hosts {
+		if !server.Accepts && len(server.shards) > 0 {
+			leaving = append(leaving, server)
 		}
 	}
-	slices.SortFunc(leavers, func(a, b *host) int { return strings.Compare(string(a.ID), string(b.ID)) })
-	return leavers
+	slices.SortFunc(leaving, func(a, b *host) int { return strings.Compare(string(a.ID), string(b.ID)) })
+	return leaving
 }
 
-// compareLoads orders shards by load, the highest first.
+// compareLoads orders shards by load, the highest first, then by width.
 func compareLoads(a, b Shard) int {
 	return cmp.Or(cmp.Compare(b.Load, a.Load), cmp.Compare(b.Range.Width(), a.Range.Width()), cmp.Compare(a.ID, b.ID))
 }
@@ -134,7 +137,7 @@
 func (s *search) apply(position int, target *host, reason Reason) {
 	shard := s.layout.records[position].Shard
 	from := s.layout.hosts[shard.Owner]
-	cost := s.price(shard)
+	cost := s.moveCost(shard)
 	s.planned = append(s.planned, step{
 		move: Move{
 			Shard: shard.ID, Epoch: shard.Epoch, From: shard.Owner, To: target.ID,
@@ -146,16 +149,16 @@
 	s.layout.transfer(position, target)
 }
 
-// price is the cost of moving a shard once, in units of the weights.
-func (s *search) price(shard Shard) float64 {
+// moveCost returns the cost of moving a shard once, in units of the weights.
+func (s *search) moveCost(shard Shard) float64 {
 	weights := s.layout.weights
 	seconds := s.layout.limits.Handover.Seconds()
-	return weights.Churn*shard.Range.Width() + weights.Unavailable*s.exposure(shard)*seconds
+	return weights.Churn*shard.Range.Width() + weights.Unavailable*s.unavailableShare(shard)*seconds
 }
 
-// exposure is the share of the service that is without an owner while the
+// unavailableShare returns the share of the service that has no owner while the
 // shard moves: of its keys or of its load, whichever is larger.
-func (s *search) exposure(shard Shard) float64 {
+func (s *search) unavailableShare(shard Shard) float64 {
 	share := shard.Range.Width()
 	if s.layout.total > 0 {
 		share = max(share, shard.Load/s.layout.total)
@@ -163,9 +166,9 @@
 	return share
 }
 
-// balance repeats: try a run of moves, keep the part of it that pays best,
-// until no run pays. Since it ends only then, a second decision on the result
-// finds nothing to do.
+// balance plans runs of moves until no run pays off. Since it ends only then,
+// unless a bound of the search is reached, a second decision on the result finds
+// nothing to do.
 func (s *search) balance() {
 	limit := s.planLimit()
 	for range maxRuns {
@@ -173,89 +176,95 @@
 		case len(s.planned) >= limit:
 			return
 		case s.balanceOnce():
-			// What could not be relieved before may have found room.
-			s.forgive()
-		case !s.setAside():
+			// Excluded servers may now have a target for their load.
+			s.clearExcluded()
+		case !s.excludeHottest():
 			return
 		}
 	}
 }
 
-// planLimit bounds the moves to look at: some more than may begin now, so that
-// a run is judged as a whole.
+// planLimit returns the maximum number of moves to plan: more than may start now,
+// so that a run is judged as a whole.
 func (s *search) planLimit() int {
-	room := s.layout.room() - s.evacuations
-	if room <= 0 {
+	free := s.layout.freeMoves() - s.evacuations
+	if free <= 0 {
 		return 0
 	}
-	return s.evacuations + min(room, maxPlanned/planAhead)*planAhead
+	return s.evacuations + min(free, maxPlanned/planAheadFactor)*planAheadFactor
 }
 
-// room is how many moves may begin.
-func (l *Layout) room() int {
+// freeMoves returns how many moves may start now. It is negative if more than
+// MaxMoves are in flight.
+func (l *Layout) freeMoves() int {
 	return l.limits.MaxMoves - l.inFlight
 }
 
-// setAside takes the hottest server out of the objective, so that one that
-// cannot be relieved does not hide the others. Servers near the mean end it.
-func (s *search) setAside() bool {
+// excludeHottest excludes the hottest server from the objective, so that a server
+// whose load cannot be lowered does not hide the others. It returns false if that
+// server is near the mean already or maxExcluded is reached.
+func (s *search) excludeHottest() bool {
 	hottest := s.layout.hottest()
-	if hottest == nil || len(s.exhausted) == maxExhausted {
+	if hottest == nil || len(s.excluded) == maxExcluded {
 		return false
 	}
-	if hottest.utilization() <= s.layout.mean()*(1+s.layout.limits.MinGain+s.layout.limits.Tolerance) {
+	if hottest.utilization() <= s.layout.meanUtilization()*(1+s.layout.limits.MinGain+s.layout.limits.Tolerance) {
 		return false
 	}
-	hottest.exhausted = true
-	s.exhausted = append(s.exhausted, hottest)
+	hottest.excluded = true
+	s.excluded = append(s.excluded, hottest)
 	return true
 }
 
-func (s *search) forgive() {
-	for _, known := range s.exhausted {
-		known.exhausted = false
+// clearExcluded includes all servers in the objective again.
+func (s *search) clearExcluded() {
+	for _, server := range s.excluded {
+		server.excluded = false
 	}
-	s.exhausted = s.exhausted[:0]
+	s.excluded = s.excluded[:0]
 }
 
-// release takes the marks of this search off the layout.
-func (s *search) release() {
-	s.forgive()
-	for _, position := range s.cutting {
+// clearMarks removes the marks of this search from the layout.
+func (s *search) clearMarks() {
+	s.clearExcluded()
+	for _, position := range s.splitting {
 		s.layout.records[position].pinned = false
 	}
 }
 
+// balanceOnce tries a run of moves and keeps the first ones of it, up to the point
+// of the highest net benefit. It returns false if no such point pays off. While
+// servers are excluded, only points that do not raise the shortfall count.
 func (s *search) balanceOnce() bool {
-	begin := len(s.planned)
-	initial, reserve := s.objective(), s.layout.shortfall()
-	bestNet, best, bestBenefit, bestCost := 0.0, begin, 0.0, 0.0
+	start := len(s.planned)
+	initialObjective, initialShortfall := s.objective(), s.layout.shortfall()
+	bestNet, best, bestBenefit, bestCost := 0.0, start, 0.0, 0.0
 	cost := 0.0
 	limits := s.layout.limits
 	for range min(lookaheadPerServer*s.layout.accepting, maxLookahead) {
-		if !s.tryBest() {
+		if !s.applyBestMove() {
 			break
 		}
 		cost += s.planned[len(s.planned)-1].cost
-		if len(s.exhausted) > 0 && s.layout.shortfall() > reserve+minimumStep {
+		if len(s.excluded) > 0 && s.layout.shortfall() > initialShortfall+epsilon {
 			continue
 		}
-		fall := initial - s.objective()
-		benefit := fall * limits.Horizon.Hours()
-		net := benefit - limits.PayFactor*cost
-		if net > bestNet && fall >= limits.MinGain*s.layout.weights.Imbalance {
+		reduction := initialObjective - s.objective()
+		benefit := reduction * limits.Horizon.Hours()
+		net := benefit - limits.MinBenefitRatio*cost
+		if net > bestNet && reduction >= limits.MinGain*s.layout.weights.Imbalance {
 			bestNet, best, bestBenefit, bestCost = net, len(s.planned), benefit, cost
 		}
 	}
 	s.undoTo(best)
 	s.benefit += bestBenefit
 	s.cost += bestCost
-	return best > begin
+	return best > start
 }
 
-// objective is the weighted imbalance: a rate, per hour.
+// objective returns the weighted imbalance and shortfall, as a cost per hour.
 func (s *search) objective() float64 {
-	mean := s.layout.mean()
+	mean := s.layout.meanUtilization()
 	hottest := s.layout.hottest()
 	if mean == 0 || hottest == nil {
 		return 0
@@ -264,7 +273,8 @@
 	return s.layout.weights.Imbalance * (excess + s.layout.shortfall())
 }
 
-// undoTo takes back the planned steps from a position on, to the last bit.
+// undoTo undoes the planned steps from a position on. It restores the saved loads,
+// so that they are equal to the last bit.
 func (s *search) undoTo(position int) {
 	if len(s.planned) == position {
 		return
@@ -273,13 +283,13 @@
 		last := s.planned[len(s.planned)-1]
 		s.planned = s.planned[:len(s.planned)-1]
 		s.layout.transfer(last.position, last.from)
-		s.layout.change(last.from, func() { last.from.load = last.fromLoad })
-		s.layout.change(last.to, func() { last.to.load = last.toLoad })
+		s.layout.updateHost(last.from, func() { last.from.load = last.fromLoad })
+		s.layout.updateHost(last.to, func() { last.to.load = last.toLoad })
 		if last.parent >= 0 {
-			s.layout.rejoin(last.parent, last.parentLoad)
+			s.layout.undoIsolate(last.parent, last.parentLoad)
 			continue
 		}
 		s.layout.records[last.position].pinned = false
 	}
-	s.layout.sumZones()
+	s.layout.recomputeZoneSums()
 }
--- a/internal/placement/doc.go
+++ b/internal/placement/doc.go
@@ -1,14 +1,14 @@
-// Package placement decides which server is to own which shard. It weighs
-// three measures by the service's weights: imbalance of load, churn of key
-// ownership, and time without an owner.
+// Package placement decides which server should own which shard. It weighs three
+// costs by the service's weights: imbalance of load, churn of key ownership, and
+// time without an owner.
 //
-// Decide proposes moves that pay for themselves; Assign chooses owners for
-// shards that have none; Estimator turns lagging and misleading load reports
-// into loads. All of it is pure: inputs and a clock reading in, typed values
-// out, the same for the same input. Nothing here reads a clock or does I/O.
+// Decide proposes moves, splits and merges; Assign chooses owners for shards that
+// have none; Estimator smooths load reports, which may be late or wrong. The
+// package is deterministic: it neither reads a clock nor does I/O, and the same
+// inputs and clock readings give the same results.
 //
-// Loads are in busy slots: the mean number of slots that a shard's requests
-// keep busy. Only ratios of loads matter to the balance, so that requests per
-// second serve as well while requests cost about the same; the reserve for the
-// loss of a zone needs busy slots and is left out otherwise.
+// Loads are in busy slots: the mean number of slots that the requests of a shard
+// occupy. Balancing depends on ratios of loads only, so requests per second work
+// as well while all requests cost about the same. The reserve for the loss of a
+// zone needs loads in busy slots and must be turned off otherwise.
 package placement
--- a/internal/placement/estimate.go
+++ b/internal/placement/estimate.go
@@ -7,34 +7,36 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
-// Observation is what is known of one shard's load in the last interval.
+// Observation is what was observed of one shard's load in the last interval.
 type Observation struct {
 	Shard state.ShardID
-	// Routed is what the routers sent, from their own counts; it is taken
-	// before the server's word. RoutedKnown is false when no router told.
+	// Routed is the load that the routers counted; it has precedence over the
+	// server's report. RoutedKnown is false if no router reported.
 	Routed      float64
 	RoutedKnown bool
-	// Reported is what the server says. ReportedKnown is false when it is
-	// silent.
+	// Reported is the load that the server reported. ReportedKnown is false if it
+	// did not report.
 	Reported      float64
 	ReportedKnown bool
 }
 
-// EstimatorConfig bounds what one interval can change.
+// EstimatorConfig holds the smoothing of loads and the bounds of one change.
 type EstimatorConfig struct {
-	// HalfLife is the time after which an old observation counts half.
+	// HalfLife is the time after which the weight of an observation has halved.
 	HalfLife time.Duration
-	// RiseHalfLife takes its place while a load rises: when two observations in
-	// a row lie above the estimate by RiseRatio. One alone may be an outlier.
+	// RiseHalfLife replaces HalfLife while a load rises: when two consecutive
+	// observations exceed the estimate by the factor RiseRatio. A single one may
+	// be an outlier. Zero turns this off.
 	RiseHalfLife time.Duration
 	RiseRatio    float64
-	// MaxRatio bounds how far a report may differ from the routers' count.
+	// MaxRatio bounds the ratio of a server's report to the routers' count, and
+	// its inverse.
 	MaxRatio float64
-	// MaxChange bounds the change of a load in one interval, as a ratio.
+	// MaxChange bounds the ratio by which a load changes in one interval.
 	MaxChange float64
 }
 
-// DefaultEstimatorConfig returns the settings that the product uses.
+// DefaultEstimatorConfig returns the configuration that the controllers use.
 func DefaultEstimatorConfig() EstimatorConfig {
 	const (
 		halfLife     = 15 * time.Second
@@ -48,26 +50,27 @@
 	}
 }
 
-// Estimator smooths the loads of a service's shards, and is not safe for
-// concurrent use. An observation costs O(1).
+// Estimator smooths the loads of a service's shards. It is not safe for concurrent
+// use. An observation costs O(1).
 //
-// A server that reports ten times its load moves the estimate by MaxRatio at
-// most while routers count its requests, and by MaxChange per observation when
-// none does. A silent server keeps its last estimate: it never looks idle, so
-// it attracts no load.
+// A server that reports ten times its load raises the estimate by the factor
+// MaxRatio at most while routers count its requests, and by MaxChange per
+// observation while none does. A server that does not report keeps its last
+// estimate: it never appears idle, so it attracts no load.
 type Estimator struct {
 	config EstimatorConfig
 	loads  map[state.ShardID]estimate
-	// total is the sum of the loads.
+	// total is the sum of the estimated loads.
 	total float64
 }
 
-// estimate is one shard's smoothed load and when it was last observed.
+// estimate is one shard's smoothed load.
 type estimate struct {
 	load float64
 	// sample is the last observation, within the bounds of one change.
 	sample float64
-	at     time.Duration
+	// at is the time of the last call to Observe with the shard.
+	at time.Duration
 }
 
 // NewEstimator returns an estimator that knows no loads.
@@ -75,12 +78,13 @@
 	return &Estimator{config: config, loads: make(map[state.ShardID]estimate)}
 }
 
-// Observe takes the observations of one interval, of any of the shards. Those
-// of one server that answered without naming a shard are zero, not unknown.
+// Observe updates the estimates with the observations of one interval, which may
+// be of any of the shards. A shard that its server's report leaves out has a known
+// load of zero, not an unknown load.
 func (e *Estimator) Observe(now time.Duration, observations []Observation) {
 	floor := e.floor(observations)
 	for _, observation := range observations {
-		e.set(observation.Shard, e.next(now, observation, floor))
+		e.set(observation.Shard, e.nextEstimate(now, observation, floor))
 	}
 }
 
@@ -89,44 +93,45 @@
 	e.loads[shard] = next
 }
 
-// Forget drops a shard that is gone.
+// Forget removes a shard.
 func (e *Estimator) Forget(shard state.ShardID) {
 	e.total = max(e.total-e.loads[shard].load, 0)
 	delete(e.loads, shard)
 }
 
-// floor is the load from which MaxChange counts, so that an idle shard can
-// become busy: the mean load of a shard, as far as it is known, or by the
-// routers' counts of now if that is more. Reports count only while no load is
-// known at all.
+// floor returns the lowest load to which MaxChange is applied, so that an idle
+// shard can become busy: the mean estimate of a shard, or the mean of the routers'
+// present counts if that is higher. Servers' reports are used only if both are
+// zero.
 func (e *Estimator) floor(observations []Observation) float64 {
-	known := e.total / float64(max(len(e.loads), 1))
+	meanLoad := e.total / float64(max(len(e.loads), 1))
 	routed, reported := 0.0, 0.0
 	for _, observation := range observations {
 		if observation.RoutedKnown {
-			routed += sane(observation.Routed)
+			routed += sanitizeLoad(observation.Routed)
 		}
 		if observation.ReportedKnown {
-			reported += sane(observation.Reported)
+			reported += sanitizeLoad(observation.Reported)
 		}
 	}
 	count := float64(max(len(observations), 1))
-	if known == 0 && routed == 0 {
+	if meanLoad == 0 && routed == 0 {
 		return reported / count
 	}
-	return max(known, routed/count)
+	return max(meanLoad, routed/count)
 }
 
-func (e *Estimator) next(now time.Duration, observation Observation, floor float64) estimate {
+// nextEstimate returns a shard's estimate after an observation.
+func (e *Estimator) nextEstimate(now time.Duration, observation Observation, floor float64) estimate {
 	previous, found := e.loads[observation.Shard]
-	sample, told := e.sample(observation)
+	sample, observed := e.combineSources(observation)
 	switch {
-	case !told && found:
+	case !observed && found:
 		return estimate{load: previous.load, sample: previous.sample, at: now}
-	case !told:
+	case !observed:
 		sample = floor
 	case !found && !observation.RoutedKnown:
-		sample = min(sample, max(floor, minimumStep)*e.config.MaxChange)
+		sample = min(sample, max(floor, epsilon)*e.config.MaxChange)
 	}
 	if !found {
 		return estimate{load: sample, sample: sample, at: now}
@@ -138,21 +143,22 @@
 	if confirmed := min(sample, previous.sample); e.config.RiseHalfLife > 0 && confirmed > previous.load*e.config.RiseRatio {
 		halfLife, target = e.config.RiseHalfLife, confirmed
 	}
-	keep := share(now-previous.at, halfLife)
-	return estimate{load: keep*previous.load + (1-keep)*target, sample: sample, at: now}
+	retained := decayFactor(now-previous.at, halfLife)
+	return estimate{load: retained*previous.load + (1-retained)*target, sample: sample, at: now}
 }
 
-// share is the part of an old value that stays after some time.
-func share(age, halfLife time.Duration) float64 {
+// decayFactor returns the share of an old value that remains after the time age.
+func decayFactor(age, halfLife time.Duration) float64 {
 	if halfLife <= 0 {
 		return 1
 	}
 	return math.Exp2(-max(age, 0).Seconds() / halfLife.Seconds())
 }
 
-// sample combines the two sources. The routers' count bounds the report.
-func (e *Estimator) sample(observation Observation) (float64, bool) {
-	routed, reported := sane(observation.Routed), sane(observation.Reported)
+// combineSources returns the observed load, and false if there is none. The
+// routers' count bounds the server's report.
+func (e *Estimator) combineSources(observation Observation) (float64, bool) {
+	routed, reported := sanitizeLoad(observation.Routed), sanitizeLoad(observation.Reported)
 	switch {
 	case observation.RoutedKnown && observation.ReportedKnown:
 		return min(max(reported, routed/e.config.MaxRatio), routed*e.config.MaxRatio), true
@@ -163,28 +169,29 @@
 	}
 }
 
-// ShardLoad returns the smoothed load, and false when it is not known.
+// ShardLoad returns the smoothed load, and false if it is not known.
 func (e *Estimator) ShardLoad(shard state.ShardID) (float64, bool) {
-	known, found := e.loads[shard]
-	return known.load, found
+	estimated, found := e.loads[shard]
+	return estimated.load, found
 }
 
-// Split gives a part of a shard's load to a new shard, so that a change of
-// shape needs no new ramp-up. Part is 0 to 1.
+// Split moves a part of a shard's load, 0 to 1, to a shard that was split off it,
+// so that the new shard's estimate need not be built up from zero.
 func (e *Estimator) Split(from, created state.ShardID, part float64) {
-	known, found := e.loads[from]
+	parent, found := e.loads[from]
 	if !found {
 		return
 	}
-	e.set(created, estimate{load: known.load * part, sample: known.sample * part, at: known.at})
-	e.set(from, estimate{load: known.load * (1 - part), sample: known.sample * (1 - part), at: known.at})
+	e.set(created, estimate{load: parent.load * part, sample: parent.sample * part, at: parent.at})
+	e.set(from, estimate{load: parent.load * (1 - part), sample: parent.sample * (1 - part), at: parent.at})
 }
 
-// Merge adds the load of a shard that is gone to its neighbour.
+// Merge adds the load of a shard that was merged into its neighbour to that
+// neighbour, and removes the shard.
 func (e *Estimator) Merge(into, gone state.ShardID) {
-	known := e.loads[into]
-	known.load += e.loads[gone].load
-	known.sample += e.loads[gone].sample
+	merged := e.loads[into]
+	merged.load += e.loads[gone].load
+	merged.sample += e.loads[gone].sample
 	e.Forget(gone)
-	e.set(into, known)
+	e.set(into, merged)
 }
--- a/internal/placement/host.go
+++ b/internal/placement/host.go
@@ -6,44 +6,48 @@
 	"strings"
 )
 
-// host is a server with what it owns in a layout.
+// host is a server of a layout with the shards that it owns.
 type host struct {
 	Server
 	load float64
-	// shards holds positions, in no order.
+	// shards holds the positions of its shards in Layout.records, in no order.
 	shards []int
-	// zone is nil while the server does not accept.
+	// zone is nil while the server does not accept shards.
 	zone *zone
-	// exhausted is set within one decision when nothing relieves the server.
-	exhausted bool
+	// excluded is set within one decision if no run of moves off the server pays
+	// off.
+	excluded bool
 }
 
-// utilization is the load per slot.
+// utilization returns the load per slot.
 func (h *host) utilization() float64 {
 	return h.load / float64(h.Slots)
 }
 
-func (h *host) add(position int, load float64) {
+func (h *host) addShard(position int, load float64) {
 	h.load += load
 	h.shards = append(h.shards, position)
 }
 
-func (h *host) remove(position int, load float64) {
-	h.drop(position)
+// removeShardLoad removes a shard and its load. The load of a server without shards
+// is exactly 0.
+func (h *host) removeShardLoad(position int, load float64) {
+	h.removeShard(position)
 	h.load = max(h.load-load, 0)
 	if len(h.shards) == 0 {
 		h.load = 0
 	}
 }
 
-func (h *host) drop(position int) {
-	place := slices.Index(h.shards, position)
+// removeShard removes a shard but leaves the load as it is.
+func (h *host) removeShard(position int) {
+	index := slices.Index(h.shards, position)
 	last := len(h.shards) - 1
-	h.shards[place] = h.shards[last]
+	h.shards[index] = h.shards[last]
 	h.shards = h.shards[:last]
 }
 
-// compareHosts orders servers of a zone, the one to fill first at the head.
+// compareHosts orders the servers of a zone, the preferred target first.
 func compareHosts(a, b *host) int {
 	return cmp.Or(
 		cmp.Compare(a.utilization(), b.utilization()),
@@ -56,99 +60,104 @@
 type zone struct {
 	name  string
 	slots int
-	// hosts are in the order of compareHosts while the layout is sorted.
+	// hosts is in the order of compareHosts while the layout is sorted.
 	hosts []*host
-	// load is theirs; room is what they could take below the reserve bound, and
-	// above what they carry above it.
-	load, room, above float64
+	// load is the load of the servers. headroom is the load that they could take
+	// up to ReserveUtilization, and excess the load that they carry beyond it.
+	load, headroom, excess float64
 }
 
+// utilization returns the load per slot.
 func (z *zone) utilization() float64 {
 	return z.load / float64(z.slots)
 }
 
-// count adds a server's part to the sums, or takes it out with sign -1.
-func (z *zone) count(known *host, bound, sign float64) {
-	room := bound*float64(known.Slots) - known.load
-	z.load += sign * known.load
-	z.room += sign * max(room, 0)
-	z.above += sign * max(-room, 0)
+// updateSums adds a server to the sums of the zone, or with sign -1 subtracts it.
+func (z *zone) updateSums(server *host, maxUtilization, sign float64) {
+	headroom := maxUtilization*float64(server.Slots) - server.load
+	z.load += sign * server.load
+	z.headroom += sign * max(headroom, 0)
+	z.excess += sign * max(-headroom, 0)
 }
 
-func (l *Layout) enterZone(known *host) {
-	if !known.Accepts {
+// addToZone adds a server that accepts shards to its zone, which is created if
+// needed.
+func (l *Layout) addToZone(server *host) {
+	if !server.Accepts {
 		return
 	}
-	place, found := slices.BinarySearchFunc(l.zones, known.Zone, func(other *zone, name string) int {
+	index, found := slices.BinarySearchFunc(l.zones, server.Zone, func(other *zone, name string) int {
 		return strings.Compare(other.name, name)
 	})
 	if !found {
-		l.zones = slices.Insert(l.zones, place, &zone{name: known.Zone})
+		l.zones = slices.Insert(l.zones, index, &zone{name: server.Zone})
 	}
-	known.zone = l.zones[place]
-	known.zone.hosts = append(known.zone.hosts, known)
-	known.zone.slots += known.Slots
-	l.slots += known.Slots
+	server.zone = l.zones[index]
+	server.zone.hosts = append(server.zone.hosts, server)
+	server.zone.slots += server.Slots
+	l.slots += server.Slots
 	l.accepting++
 	l.sorted = false
 }
 
-func (l *Layout) leaveZone(known *host) {
-	left := known.zone
-	if left == nil {
+// removeFromZone removes a server from its zone, and the zone if it is empty then.
+func (l *Layout) removeFromZone(server *host) {
+	zone := server.zone
+	if zone == nil {
 		return
 	}
-	known.zone = nil
-	place := slices.Index(left.hosts, known)
-	left.hosts = slices.Delete(left.hosts, place, place+1)
-	left.slots -= known.Slots
-	l.slots -= known.Slots
+	server.zone = nil
+	index := slices.Index(zone.hosts, server)
+	zone.hosts = slices.Delete(zone.hosts, index, index+1)
+	zone.slots -= server.Slots
+	l.slots -= server.Slots
 	l.accepting--
 	l.sorted = false
-	if len(left.hosts) == 0 {
-		place = slices.Index(l.zones, left)
-		l.zones = slices.Delete(l.zones, place, place+1)
+	if len(zone.hosts) == 0 {
+		index = slices.Index(l.zones, zone)
+		l.zones = slices.Delete(l.zones, index, index+1)
 	}
 }
 
-// change alters a server within a decision and keeps its zone in order.
-func (l *Layout) change(known *host, alter func()) {
-	if known.zone == nil {
-		alter()
+// updateHost updates a server within a decision and keeps its zone sorted.
+func (l *Layout) updateHost(server *host, update func()) {
+	if server.zone == nil {
+		update()
 		return
 	}
-	hosts := known.zone.hosts
-	place, _ := slices.BinarySearchFunc(hosts, known, compareHosts)
-	hosts = slices.Delete(hosts, place, place+1)
-	known.zone.count(known, l.limits.ReserveUtilization, -1)
-	alter()
-	known.zone.count(known, l.limits.ReserveUtilization, 1)
-	place, _ = slices.BinarySearchFunc(hosts, known, compareHosts)
-	known.zone.hosts = slices.Insert(hosts, place, known)
-}
-
-// sumZones computes the sums anew, free of rounding left by changes.
-func (l *Layout) sumZones() {
-	for _, known := range l.zones {
-		known.load, known.room, known.above = 0, 0, 0
-		for _, member := range known.hosts {
-			known.count(member, l.limits.ReserveUtilization, 1)
+	hosts := server.zone.hosts
+	index, _ := slices.BinarySearchFunc(hosts, server, compareHosts)
+	hosts = slices.Delete(hosts, index, index+1)
+	server.zone.updateSums(server, l.limits.ReserveUtilization, -1)
+	update()
+	server.zone.updateSums(server, l.limits.ReserveUtilization, 1)
+	index, _ = slices.BinarySearchFunc(hosts, server, compareHosts)
+	server.zone.hosts = slices.Insert(hosts, index, server)
+}
+
+// recomputeZoneSums recomputes the sums of all zones, which removes the rounding
+// errors of incremental updates.
+func (l *Layout) recomputeZoneSums() {
+	for _, zone := range l.zones {
+		zone.load, zone.headroom, zone.excess = 0, 0, 0
+		for _, server := range zone.hosts {
+			zone.updateSums(server, l.limits.ReserveUtilization, 1)
 		}
 	}
 }
 
-// hottest returns the accepting server with the highest utilization that some
-// move may take load off.
+// hottest returns the accepting server with the highest utilization, without those
+// that are excluded or own a single key only, or nil.
 func (l *Layout) hottest() *host {
 	var hottest *host
-	for _, known := range l.zones {
-		for place := len(known.hosts) - 1; place >= 0; place-- {
-			option := known.hosts[place]
-			if option.exhausted || l.indivisible(option) {
+	for _, zone := range l.zones {
+		for index := len(zone.hosts) - 1; index >= 0; index-- {
+			server := zone.hosts[index]
+			if server.excluded || l.ownsOneKey(server) {
 				continue
 			}
-			if hottest == nil || option.utilization() > hottest.utilization() {
-				hottest = option
+			if hottest == nil || server.utilization() > hottest.utilization() {
+				hottest = server
 			}
 			break
 		}
@@ -156,24 +165,25 @@
 	return hottest
 }
 
-// indivisible reports whether a server owns nothing but one key.
-func (l *Layout) indivisible(known *host) bool {
-	if len(known.shards) != 1 {
+// ownsOneKey reports whether a server owns one key only, so that its load cannot be
+// divided.
+func (l *Layout) ownsOneKey(server *host) bool {
+	if len(server.shards) != 1 {
 		return false
 	}
-	keys := l.records[known.shards[0]].Range
+	keys := l.records[server.shards[0]].Range
 	return keys.First == keys.Last
 }
 
-// measure returns the imbalance over the accepting servers and the shortfall.
+// measure returns the imbalance of the accepting servers and the shortfall.
 func (l *Layout) measure() Measure {
-	mean := l.mean()
+	mean := l.meanUtilization()
 	if mean == 0 {
 		return Measure{Imbalance: 1}
 	}
 	highest := 0.0
-	for _, known := range l.zones {
-		highest = max(highest, known.hosts[len(known.hosts)-1].utilization())
+	for _, zone := range l.zones {
+		highest = max(highest, zone.hosts[len(zone.hosts)-1].utilization())
 	}
 	return Measure{Imbalance: highest / mean, Shortfall: l.shortfall()}
 }
--- a/internal/placement/layout.go
+++ b/internal/placement/layout.go
@@ -7,9 +7,9 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
-// Layout is the assignment of one service that placement keeps between its
-// decisions. Each change costs O(log n); a decision costs the changes since the
-// last one, one pass over the servers, and the search. It is not safe for
+// Layout holds the servers, shards and owners of one service between decisions.
+// Each change takes O(log n). A decision takes the time of the changes since the
+// last one, one pass over the servers, and the search. A Layout is not safe for
 // concurrent use.
 type Layout struct {
 	weights state.Weights
@@ -17,28 +17,33 @@
 	now     time.Duration
 
 	hosts map[state.ServerID]*host
-	// zones holds the zones of the accepting servers by name.
+	// zones holds the zones of the accepting servers, sorted by name.
 	zones []*zone
-	// sorted is false after a load changed and until the next decision.
+	// sorted is false from a change of a load or a server until the next decision.
 	sorted bool
 
 	records []record
-	// positions finds a shard in records; free lists the unused positions.
-	positions map[state.ShardID]int
-	free      []int
-	// order holds positions in the order of the ranges; fresh ones wait to be
-	// inserted.
-	order []int32
-	fresh []int32
-	// mergeCursor is where in order the search for cold neighbours goes on.
+	// positions is the index of each shard in records. freePositions lists the
+	// unused ones.
+	positions     map[state.ShardID]int
+	freePositions []int
+	// order holds positions in the order of the ranges. notInOrder holds those
+	// that are yet to be inserted.
+	order      []int32
+	notInOrder []int32
+	// mergeCursor is the index in order at which the next search for mergeable
+	// neighbours continues.
 	mergeCursor int
 
-	// total is the load of all shards, slots those of the accepting servers.
-	total     float64
+	// total is the load of all shards.
+	total float64
+	// slots is the number of slots of the accepting servers, accepting the number
+	// of these servers.
 	slots     int
 	accepting int
-	inFlight  int
-	recent    recentChurn
+	// inFlight is the number of shards that are moving.
+	inFlight int
+	recent   recentChurn
 }
 
 // NewLayout returns an empty layout. All-zero weights mean DefaultWeights.
@@ -57,109 +62,111 @@
 	l.limits = limits
 }
 
-// PutServer adds or replaces a server; what it owns stays.
+// PutServer adds or replaces a server. The shards that it owns stay.
 func (l *Layout) PutServer(server Server) {
 	server.Slots = max(server.Slots, 1)
-	known := l.ensureHost(server.ID)
-	if known.Server == server {
+	current := l.ensureHost(server.ID)
+	if current.Server == server {
 		return
 	}
-	l.leaveZone(known)
-	known.Server = server
-	l.enterZone(known)
+	l.removeFromZone(current)
+	current.Server = server
+	l.addToZone(current)
 	l.sorted = false
 }
 
-// RemoveServer makes a server one that does not accept.
+// RemoveServer marks a server as not accepting shards. It is removed once it owns
+// none.
 func (l *Layout) RemoveServer(id state.ServerID) {
-	if known := l.hosts[id]; known != nil {
-		l.leaveZone(known)
-		known.Accepts = false
-		l.forgetIdle(known)
+	if server := l.hosts[id]; server != nil {
+		l.removeFromZone(server)
+		server.Accepts = false
+		l.removeUnusedHost(server)
 	}
 }
 
-// ensureHost returns the server, which does not accept before PutServer.
+// ensureHost returns a server. One that is unknown is added as not accepting shards.
 func (l *Layout) ensureHost(id state.ServerID) *host {
-	known := l.hosts[id]
-	if known == nil {
-		known = &host{Server: Server{ID: id, Slots: 1}}
-		l.hosts[id] = known
+	server := l.hosts[id]
+	if server == nil {
+		server = &host{Server: Server{ID: id, Slots: 1}}
+		l.hosts[id] = server
 	}
-	return known
+	return server
 }
 
-// forgetIdle drops a server that neither accepts nor owns anything.
-func (l *Layout) forgetIdle(known *host) {
-	if !known.Accepts && len(known.shards) == 0 {
-		delete(l.hosts, known.ID)
+// removeUnusedHost removes a server that neither accepts nor owns shards.
+func (l *Layout) removeUnusedHost(server *host) {
+	if !server.Accepts && len(server.shards) == 0 {
+		delete(l.hosts, server.ID)
 	}
 }
 
-// PutShard adds or replaces a shard at the time now. An owner that differs from
-// the one at which a move began makes the move part of the shard's past. The
+// PutShard adds or replaces a shard at the time now. If a move ends with an owner
+// other than the one that it started from, it is added to the recent moves. The
 // load of a known shard stays; SetLoad changes it.
 func (l *Layout) PutShard(now time.Duration, shard Shard) {
 	position, found := l.positions[shard.ID]
 	if !found {
-		l.insert(now, shard)
+		l.insertShard(now, shard)
 		return
 	}
-	known := &l.records[position]
-	l.disown(position)
-	if shard.Moving && known.source == "" {
-		known.source = known.Owner
+	current := &l.records[position]
+	l.removeFromOwner(position)
+	if shard.Moving && current.moveSource == "" {
+		current.moveSource = current.Owner
 	}
 	if !shard.Moving && shard.Owner != "" {
-		l.settle(now, known, shard.Owner)
+		l.recordMoveEnd(now, current, shard.Owner)
 	}
-	if known.Range.First != shard.Range.First {
-		l.unorder(position)
-		l.fresh = append(l.fresh, int32(position))
+	if current.Range.First != shard.Range.First {
+		l.removeFromOrder(position)
+		l.notInOrder = append(l.notInOrder, int32(position))
 	}
-	if shard.Range.Width() < known.Range.Width() {
-		known.warmAt = max(known.warmAt, now)
+	if shard.Range.Width() < current.Range.Width() {
+		current.warmAt = max(current.warmAt, now)
 	}
-	known.Range, known.Owner, known.Epoch = shard.Range, shard.Owner, shard.Epoch
-	l.setMoving(known, shard.Moving)
-	l.own(position)
+	current.Range, current.Owner, current.Epoch = shard.Range, shard.Owner, shard.Epoch
+	l.setMoving(current, shard.Moving)
+	l.addToOwner(position)
 }
 
-// settle records the end of a move, if one was under way. A move off a server
-// that was leaving is no reason to rest, nor to stay away once it is back.
-func (l *Layout) settle(now time.Duration, known *record, owner state.ServerID) {
-	source := known.source
-	known.source = ""
+// recordMoveEnd records the end of a move, if one was in progress. A move off a
+// server that was leaving starts no cooldown, and does not keep the shard from
+// returning once that server is back.
+func (l *Layout) recordMoveEnd(now time.Duration, shard *record, owner state.ServerID) {
+	source := shard.moveSource
+	shard.moveSource = ""
 	if source == "" || source == owner {
 		return
 	}
-	l.recent.add(now, known.Range.Width())
+	l.recent.add(now, shard.Range.Width())
 	if from := l.hosts[source]; from != nil && from.Accepts {
-		known.depart(now, source)
+		shard.recordDeparture(now, source)
 	}
 }
 
-func (l *Layout) insert(now time.Duration, shard Shard) {
+func (l *Layout) insertShard(now time.Duration, shard Shard) {
 	position := len(l.records)
-	if count := len(l.free); count > 0 {
-		position = l.free[count-1]
-		l.free = l.free[:count-1]
+	if count := len(l.freePositions); count > 0 {
+		position = l.freePositions[count-1]
+		l.freePositions = l.freePositions[:count-1]
 	} else {
 		l.records = append(l.records, record{})
 	}
-	load := sane(shard.Load)
+	load := sanitizeLoad(shard.Load)
 	moving := shard.Moving
 	shard.Load, shard.Moving = 0, false
-	shard.HotShare = min(sane(shard.HotShare), 1)
+	shard.HotShare = min(sanitizeLoad(shard.HotShare), 1)
 	l.records[position] = record{Shard: shard, live: true, warmAt: now}
 	l.positions[shard.ID] = position
-	l.fresh = append(l.fresh, int32(position))
-	l.own(position)
+	l.notInOrder = append(l.notInOrder, int32(position))
+	l.addToOwner(position)
 	l.addLoad(position, load)
 	l.setMoving(&l.records[position], moving)
 }
 
-// RemoveShard forgets a shard that is gone.
+// RemoveShard removes a shard.
 func (l *Layout) RemoveShard(id state.ShardID) {
 	position, found := l.positions[id]
 	if !found {
@@ -167,14 +174,14 @@
 	}
 	l.addLoad(position, -l.records[position].Load)
 	l.setMoving(&l.records[position], false)
-	l.disown(position)
-	l.unorder(position)
+	l.removeFromOwner(position)
+	l.removeFromOrder(position)
 	delete(l.positions, id)
 	l.records[position] = record{}
-	l.free = append(l.free, position)
+	l.freePositions = append(l.freePositions, position)
 }
 
-// Shard returns what the layout knows of a shard.
+// Shard returns a shard as the layout holds it.
 func (l *Layout) Shard(id state.ShardID) (Shard, bool) {
 	position, found := l.positions[id]
 	if !found {
@@ -185,12 +192,12 @@
 
 // Owned returns the shards that a server owns, in no particular order.
 func (l *Layout) Owned(id state.ServerID) []Shard {
-	known := l.hosts[id]
-	if known == nil {
+	server := l.hosts[id]
+	if server == nil {
 		return nil
 	}
-	shards := make([]Shard, 0, len(known.shards))
-	for _, position := range known.shards {
+	shards := make([]Shard, 0, len(server.shards))
+	for _, position := range server.shards {
 		shards = append(shards, l.records[position].Shard)
 	}
 	return shards
@@ -198,96 +205,98 @@
 
 // ServerLoad returns the load of the shards that a server owns.
 func (l *Layout) ServerLoad(id state.ServerID) float64 {
-	if known := l.hosts[id]; known != nil {
-		return known.load
+	if server := l.hosts[id]; server != nil {
+		return server.load
 	}
 	return 0
 }
 
-// SetLoad replaces a shard's load, in busy slots, and what is known of its
+// SetLoad sets a shard's load, in busy slots, and the hash and the share of its
 // busiest key. An unknown shard is ignored.
 func (l *Layout) SetLoad(id state.ShardID, load float64, hotHash uint64, hotShare float64) {
 	position, found := l.positions[id]
 	if !found {
 		return
 	}
-	known := &l.records[position]
-	known.HotHash = hotHash
-	known.HotShare = min(sane(hotShare), 1)
-	l.addLoad(position, sane(load)-known.Load)
-	if known.Load > l.coldLoad() {
-		known.warmAt = max(known.warmAt, l.now)
+	shard := &l.records[position]
+	shard.HotHash = hotHash
+	shard.HotShare = min(sanitizeLoad(hotShare), 1)
+	l.addLoad(position, sanitizeLoad(load)-shard.Load)
+	if shard.Load > l.coldLoad() {
+		shard.warmAt = max(shard.warmAt, l.now)
 	}
 }
 
 func (l *Layout) addLoad(position int, difference float64) {
-	known := &l.records[position]
-	known.Load = max(known.Load+difference, 0)
+	shard := &l.records[position]
+	shard.Load = max(shard.Load+difference, 0)
 	l.total = max(l.total+difference, 0)
-	if owner := l.hosts[known.Owner]; owner != nil && difference != 0 {
+	if owner := l.hosts[shard.Owner]; owner != nil && difference != 0 {
 		owner.load = max(owner.load+difference, 0)
 		l.sorted = false
 	}
 }
 
-func (l *Layout) setMoving(known *record, moving bool) {
+func (l *Layout) setMoving(shard *record, moving bool) {
 	switch {
-	case moving && !known.Moving:
+	case moving && !shard.Moving:
 		l.inFlight++
-	case !moving && known.Moving:
+	case !moving && shard.Moving:
 		l.inFlight--
 	}
-	known.Moving = moving
+	shard.Moving = moving
 }
 
-// own and disown keep a server's list of shards. They are for changes between
-// decisions; transfer is for those within one.
-func (l *Layout) own(position int) {
+// addToOwner adds a shard to the list of its owner. addToOwner and removeFromOwner
+// are for changes between decisions; transfer is for those within one.
+func (l *Layout) addToOwner(position int) {
 	shard := &l.records[position]
 	if shard.Owner == "" {
 		return
 	}
 	owner := l.ensureHost(shard.Owner)
-	owner.add(position, shard.Load)
+	owner.addShard(position, shard.Load)
 	l.sorted = false
 }
 
-func (l *Layout) disown(position int) {
+func (l *Layout) removeFromOwner(position int) {
 	shard := &l.records[position]
 	owner := l.hosts[shard.Owner]
 	if owner == nil {
 		return
 	}
-	owner.remove(position, shard.Load)
+	owner.removeShardLoad(position, shard.Load)
 	l.sorted = false
-	l.forgetIdle(owner)
+	l.removeUnusedHost(owner)
 }
 
-// mean is the load per slot if it were even.
-func (l *Layout) mean() float64 {
+// meanUtilization returns the load per slot of the accepting servers if it were
+// balanced.
+func (l *Layout) meanUtilization() float64 {
 	if l.slots == 0 {
 		return 0
 	}
 	return l.total / float64(l.slots)
 }
 
-// prepare brings everything that is kept lazily up to date.
+// prepare brings the parts of the layout up to date that changes leave to the next
+// decision.
 func (l *Layout) prepare(now time.Duration) {
 	l.now = now
 	l.recent.expire(now - l.limits.Window)
-	l.insertFresh()
+	l.completeOrder()
 	if l.sorted {
 		return
 	}
-	for _, known := range l.zones {
-		slices.SortFunc(known.hosts, compareHosts)
+	for _, zone := range l.zones {
+		slices.SortFunc(zone.hosts, compareHosts)
 	}
-	l.sumZones()
+	l.recomputeZoneSums()
 	l.sorted = true
 }
 
-// sane turns what is no load into zero.
-func sane(load float64) float64 {
+// sanitizeLoad returns 0 for a load that is not a number, negative or above maxLoad.
+func sanitizeLoad(load float64) float64 {
 	if load > 0 && load <= maxLoad {
 		return load
 	}
--- a/internal/placement/layout_test.go
+++ b/internal/placement/layout_test.go
@@ -11,17 +11,17 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
-// disturbed builds the layout of a problem by way of other loads, owners,
-// servers and shards, which are then put right.
-func disturbed(problem Problem, random *rand.Rand) *Layout {
+// buildFromOtherState builds the layout of a problem in two stages: first with other
+// loads, owners, servers and shards, then with those of the problem.
+func buildFromOtherState(problem Problem, random *rand.Rand) *Layout {
 	layout := NewLayout(problem.Weights, problem.Limits)
 	for _, position := range random.Perm(len(problem.Shards)) {
 		shard := problem.Shards[position]
 		shard.Owner, shard.Load, shard.Moving = "gone", 1, false
 		layout.PutShard(0, shard)
 	}
-	extra := Shard{ID: 1 << 40, Owner: "gone", Load: 3, Range: state.KeyRange{First: math.MaxUint64, Last: math.MaxUint64}}
-	layout.PutShard(0, extra)
+	extraShard := Shard{ID: 1 << 40, Owner: "gone", Load: 3, Range: state.KeyRange{First: math.MaxUint64, Last: math.MaxUint64}}
+	layout.PutShard(0, extraShard)
 	layout.PutServer(Server{ID: "gone", Zone: "z", Slots: 1, Accepts: true})
 	for _, position := range random.Perm(len(problem.Servers)) {
 		layout.PutServer(problem.Servers[position])
@@ -32,22 +32,22 @@
 		layout.PutShard(0, shard)
 		layout.SetLoad(shard.ID, shard.Load, shard.HotHash, shard.HotShare)
 	}
-	layout.RemoveShard(extra.ID)
+	layout.RemoveShard(extraShard.ID)
 	layout.RemoveServer("gone")
 	return layout
 }
 
 func TestLayoutFollowsChanges(t *testing.T) {
-	holds(t, "a layout that followed changes decides as a new one", func(problem Problem) bool {
+	checkProperty(t, "a layout that was changed to match a problem decides as a new one", func(problem Problem) bool {
 		random := rand.New(rand.NewPCG(uint64(len(problem.Shards)), 1))
-		layout := disturbed(problem, random)
+		layout := buildFromOtherState(problem, random)
 		first, second, whole := layout.Decide(problem.Now), layout.Decide(problem.Now), Decide(problem)
 		return reflect.DeepEqual(choices(first), choices(whole)) && reflect.DeepEqual(choices(second), choices(whole))
 	})
 }
 
-// choices are the moves and splits without the figures, in which the order of
-// additions shows.
+// choices returns the moves and splits of a decision without their floating-point
+// values, which depend on the order of additions.
 func choices(decision Decision) []string {
 	var chosen []string
 	for _, move := range decision.Moves {
@@ -60,7 +60,7 @@
 }
 
 func TestLayoutRemembersMoves(t *testing.T) {
-	problem := uniform([]float64{0.6, 0.6, 0.6}, []float64{0.1})
+	problem := problemWithLoads([]float64{0.6, 0.6, 0.6}, []float64{0.1})
 	layout := NewLayout(problem.Weights, problem.Limits)
 	for _, server := range problem.Servers {
 		layout.PutServer(server)
@@ -69,7 +69,7 @@
 		layout.PutShard(now, shard)
 	}
 	if len(layout.Decide(now).Moves) == 0 {
-		t.Fatal("want a move without history")
+		t.Fatal("no move without recent moves, want at least one")
 	}
 	for _, shard := range problem.Shards[:3] {
 		for _, step := range []struct {
@@ -81,15 +81,15 @@
 		}
 	}
 	if moves := layout.Decide(now + 30*time.Minute).Moves; len(moves) != 0 {
-		t.Fatalf("a shard returned to the server that it left: %+v", moves)
+		t.Fatalf("30 minutes after the moves: %+v, want no move back to the server that the shards left", moves)
 	}
 	if moves := layout.Decide(now + 2*time.Hour).Moves; len(moves) == 0 {
-		t.Fatal("the past was never forgotten")
+		t.Fatal("two hours after the moves: no move, want at least one once they are outside the window")
 	}
 }
 
-// largeLayout has servers in seven zones and skewed loads. Its capacity for
-// shards is twice what it holds.
+// largeLayout returns a layout with servers in seven zones and skewed loads, whose
+// limit on the number of shards is twice the present number.
 func largeLayout(servers, shards int) (*Layout, *rand.Rand) {
 	random := rand.New(rand.NewPCG(1, 1))
 	limits := DefaultLimits()
@@ -109,8 +109,8 @@
 	return layout, random
 }
 
-// BenchmarkLayoutDecide measures one decision round: some loads change, then
-// the layout decides. A round with all loads is what a whole report costs.
+// BenchmarkLayoutDecide measures one round: some loads change, then the layout
+// decides. The round in which all loads change is the cost of a full report.
 func BenchmarkLayoutDecide(b *testing.B) {
 	for _, size := range []struct{ servers, shards int }{{1_000, 50_000}, {3_000, 200_000}, {6_200, 530_000}} {
 		layout, random := largeLayout(size.servers, size.shards)
--- a/internal/placement/order.go
+++ b/internal/placement/order.go
@@ -7,51 +7,51 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
-// bulkInsert is the number of new shards from which the order is sorted as a
-// whole rather than by single insertions.
+// bulkInsert is the number of new shards above which the whole order is sorted
+// instead of inserting the shards one by one.
 const bulkInsert = 64
 
-// insertFresh brings new shards into the order of the ranges.
-func (l *Layout) insertFresh() {
-	if len(l.fresh) == 0 {
+// completeOrder inserts new shards into the order of the ranges.
+func (l *Layout) completeOrder() {
+	if len(l.notInOrder) == 0 {
 		return
 	}
-	if len(l.fresh) > bulkInsert {
-		l.order = append(l.order, l.fresh...)
+	if len(l.notInOrder) > bulkInsert {
+		l.order = append(l.order, l.notInOrder...)
 		slices.SortFunc(l.order, l.compareRanges)
 	} else {
-		for _, position := range l.fresh {
-			place, _ := slices.BinarySearchFunc(l.order, position, l.compareRanges)
-			l.order = slices.Insert(l.order, place, position)
+		for _, position := range l.notInOrder {
+			index, _ := slices.BinarySearchFunc(l.order, position, l.compareRanges)
+			l.order = slices.Insert(l.order, index, position)
 		}
 	}
-	l.fresh = l.fresh[:0]
+	l.notInOrder = l.notInOrder[:0]
 }
 
-// unorder takes a shard out of the order. Its range must be the one that it was
-// inserted with.
-func (l *Layout) unorder(position int) {
-	if place := slices.Index(l.fresh, int32(position)); place >= 0 {
-		l.fresh = slices.Delete(l.fresh, place, place+1)
+// removeFromOrder removes a shard from the order. Its range must be the one that it
+// was inserted with.
+func (l *Layout) removeFromOrder(position int) {
+	if index := slices.Index(l.notInOrder, int32(position)); index >= 0 {
+		l.notInOrder = slices.Delete(l.notInOrder, index, index+1)
 		return
 	}
-	place, found := slices.BinarySearchFunc(l.order, int32(position), l.compareRanges)
-	if found && l.order[place] == int32(position) {
-		l.order = slices.Delete(l.order, place, place+1)
+	index, found := slices.BinarySearchFunc(l.order, int32(position), l.compareRanges)
+	if found && l.order[index] == int32(position) {
+		l.order = slices.Delete(l.order, index, index+1)
 		return
 	}
-	// Ranges overlap for the time of a change that comes in several parts.
-	if place := slices.Index(l.order, int32(position)); place >= 0 {
-		l.order = slices.Delete(l.order, place, place+1)
+	// Ranges may overlap while a change of several shards is applied one by one.
+	if index := slices.Index(l.order, int32(position)); index >= 0 {
+		l.order = slices.Delete(l.order, index, index+1)
 	}
 }
 
-// remember applies moves of the past to the shards that hold their keys now.
-func (l *Layout) remember(history []RecentMove) {
-	l.insertFresh()
+// applyHistory records past moves at the shards that hold their keys now.
+func (l *Layout) applyHistory(history []RecentMove) {
+	l.completeOrder()
 	for _, move := range history {
 		for _, position := range l.overlapping(move.Range) {
-			l.records[position].depart(move.At, move.From)
+			l.records[position].recordDeparture(move.At, move.From)
 		}
 		l.recent.add(move.At, move.Range.Width())
 	}
--- a/internal/placement/record.go
+++ b/internal/placement/record.go
@@ -7,49 +7,50 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
-// record is one shard with its past.
+// record is one shard with its recent moves.
 type record struct {
 	Shard
 	live bool
-	// pinned shards are part of the decision in the making.
+	// pinned is set while the decision in progress moves or splits the shard.
 	pinned bool
-	// source is the owner that a move under way began at.
-	source state.ServerID
-	// movedAt is when the shard last moved, if moved.
-	moved   bool
-	movedAt time.Duration
-	left    []departure
-	// warmAt is when the shard was last seen to be too busy to be merged, was
-	// cut, or came to be known.
+	// moveSource is the owner that the move in progress started from, or empty.
+	moveSource state.ServerID
+	// movedAt is when the shard last moved. It is valid if moved is true.
+	moved      bool
+	movedAt    time.Duration
+	departures []departure
+	// warmAt is when the shard last was too busy to be merged, was split, or was
+	// added.
 	warmAt time.Duration
 }
 
-// departure is a server that a shard left.
+// departure is a move of a shard off a server.
 type departure struct {
 	server state.ServerID
 	at     time.Duration
 }
 
-// maxDepartures bounds what a shard remembers; the newest stay.
+// maxDepartures bounds the departures that are kept for a shard, the newest ones.
 const maxDepartures = 4
 
-func (r *record) depart(at time.Duration, from state.ServerID) {
+func (r *record) recordDeparture(at time.Duration, from state.ServerID) {
 	r.moved = true
 	r.movedAt = max(r.movedAt, at)
-	r.left = append(r.left, departure{server: from, at: at})
-	if len(r.left) > maxDepartures {
-		r.left = slices.Delete(r.left, 0, len(r.left)-maxDepartures)
+	r.departures = append(r.departures, departure{server: from, at: at})
+	if len(r.departures) > maxDepartures {
+		r.departures = slices.Delete(r.departures, 0, len(r.departures)-maxDepartures)
 	}
 }
 
-// resting reports whether a shard may not move for the sake of balance.
-func (l *Layout) resting(known *record) bool {
-	return known.pinned || known.Moving || (known.moved && l.now-known.movedAt < l.limits.Cooldown)
+// excludedFromBalance reports whether a shard must not be moved for balance now.
+func (l *Layout) excludedFromBalance(shard *record) bool {
+	return shard.pinned || shard.Moving || (shard.moved && l.now-shard.movedAt < l.limits.Cooldown)
 }
 
-// hasLeft reports whether the shard left the server within the window.
-func (l *Layout) hasLeft(known *record, server state.ServerID) bool {
-	for _, past := range known.left {
+// leftRecently reports whether the shard left the server within Window or Cooldown,
+// whichever is longer.
+func (l *Layout) leftRecently(shard *record, server state.ServerID) bool {
+	for _, past := range shard.departures {
 		if past.server == server && l.now-past.at < max(l.limits.Window, l.limits.Cooldown) {
 			return true
 		}
@@ -57,10 +58,11 @@
 	return false
 }
 
-// recentChurn is the share of the key space that moved within the window.
+// recentChurn holds the moves within the window and their share of the key space.
 type recentChurn struct {
 	moves []recentMove
-	sum   float64
+	// sum is the sum of the widths.
+	sum float64
 }
 
 type recentMove struct {
@@ -73,14 +75,15 @@
 	r.sum += width
 }
 
-// expire forgets the moves before a time.
+// expire removes the moves before a time. The sum is set to exactly 0 when no move
+// is left.
 func (r *recentChurn) expire(before time.Duration) {
-	kept := 0
-	for kept < len(r.moves) && r.moves[kept].at < before {
-		r.sum -= r.moves[kept].width
-		kept++
+	expired := 0
+	for expired < len(r.moves) && r.moves[expired].at < before {
+		r.sum -= r.moves[expired].width
+		expired++
 	}
-	r.moves = slices.Delete(r.moves, 0, kept)
+	r.moves = slices.Delete(r.moves, 0, expired)
 	if len(r.moves) == 0 {
 		r.sum = 0
 	}
--- a/internal/placement/reshape.go
+++ b/internal/placement/reshape.go
@@ -7,46 +7,47 @@
 )
 
 const (
-	// splitAbove is the utilization, as a multiple of the mean, from which a
-	// server's large shards are split.
-	splitAbove = 1.1
-	// splitShare is the least load of a shard that is split, as a share of the
-	// mean load of a server.
-	splitShare = 0.2
-	// dominantShare is the share of a shard's load from which its busiest key
-	// is split off rather than the range halved.
+	// splitUtilization is the utilization, as a multiple of the mean, above which
+	// a server's large shards are split.
+	splitUtilization = 1.1
+	// minSplitShare is the lowest load at which a shard is split, as a share of
+	// the mean load of a server.
+	minSplitShare = 0.2
+	// dominantShare is the share of a shard's load from which on its busiest key
+	// is split off instead of halving the range.
 	dominantShare = 0.5
-	// narrowest is the width from which a shard is not halved any more, as a
-	// share of the mean: what is left is as cheap to move whole, and one busy key
-	// cannot be halved.
-	narrowest = 1.0 / 1024
-	// maxSplits bounds one decision.
+	// minSplitWidth is the width up to which a shard is not split, as a share of
+	// the mean width: a narrow shard is as cheap to move as a whole, and a single
+	// busy key cannot be split.
+	minSplitWidth = 1.0 / 1024
+	// maxSplits bounds the splits of one decision.
 	maxSplits = 4
 )
 
-// splits proposes cuts through the large shards of servers that stay too hot.
-// A cut changes no owner; the parts can then move by themselves.
-func (s *search) splits() []Split {
+// findSplits proposes splits of the large shards of servers that are still too hot
+// after the planned moves. A split changes no owner, but lets the parts move
+// separately.
+func (s *search) findSplits() []Split {
 	var splits []Split
-	for _, option := range s.layout.zones {
-		for place := len(option.hosts) - 1; place >= 0; place-- {
-			if option.hosts[place].utilization() <= splitAbove*s.layout.mean() {
+	for _, zone := range s.layout.zones {
+		for index := len(zone.hosts) - 1; index >= 0; index-- {
+			if zone.hosts[index].utilization() <= splitUtilization*s.layout.meanUtilization() {
 				break
 			}
-			splits = s.splitsOf(splits, option.hosts[place])
+			splits = s.appendSplits(splits, zone.hosts[index])
 		}
 	}
 	return splits
 }
 
-// splitsOf adds cuts through a server's shards, the busiest first.
-func (s *search) splitsOf(splits []Split, owner *host) []Split {
-	perServer := s.layout.total / float64(s.layout.accepting)
-	width := narrowest / float64(len(s.layout.positions))
+// appendSplits appends splits of a server's large shards, the busiest first.
+func (s *search) appendSplits(splits []Split, owner *host) []Split {
+	meanServerLoad := s.layout.total / float64(s.layout.accepting)
+	minWidth := minSplitWidth / float64(len(s.layout.positions))
 	var large []int
 	for _, position := range owner.shards {
-		known := &s.layout.records[position]
-		if known.Load >= splitShare*perServer && !known.pinned && !known.Moving && known.Range.Width() > width {
+		shard := &s.layout.records[position]
+		if shard.Load >= minSplitShare*meanServerLoad && !shard.pinned && !shard.Moving && shard.Range.Width() > minWidth {
 			large = append(large, position)
 		}
 	}
@@ -54,20 +55,20 @@
 		return compareLoads(s.layout.records[a].Shard, s.layout.records[b].Shard)
 	})
 	for _, position := range large {
-		if len(splits) == maxSplits || !s.mayGrow() {
+		if len(splits) == maxSplits || !s.canAddShard() {
 			break
 		}
-		known := &s.layout.records[position]
-		splits = append(splits, Split{Shard: known.ID, Epoch: known.Epoch, Part: cut(known.Shard)})
-		known.pinned = true
-		s.cutting = append(s.cutting, position)
+		shard := &s.layout.records[position]
+		splits = append(splits, Split{Shard: shard.ID, Epoch: shard.Epoch, Part: partToSplitOff(shard.Shard)})
+		shard.pinned = true
+		s.splitting = append(s.splitting, position)
 	}
 	return splits
 }
 
-// cut returns the part to split off: the busiest key when it dominates, else
-// the upper half.
-func cut(shard Shard) state.KeyRange {
+// partToSplitOff returns the busiest key if it dominates the load, else the upper
+// half of the range.
+func partToSplitOff(shard Shard) state.KeyRange {
 	if shard.HotShare >= dominantShare && shard.Range.Contains(shard.HotHash) {
 		return state.KeyRange{First: shard.HotHash, Last: shard.HotHash}
 	}
--- a/internal/placement/types.go
+++ b/internal/placement/types.go
@@ -11,11 +11,11 @@
 	ID    state.ServerID
 	Zone  string
 	Slots int
-	// Accepts is false for a server that is leaving, retiring or without an
-	// open session: it is no target, and its shards move off.
+	// Accepts is false for a server that is leaving, retiring or without an open
+	// session: it gets no shards, and those that it owns are moved off.
 	Accepts bool
 	// ReadyAt is when the server began to accept shards, on the clock of
-	// Problem.Now. A server ramps up from then on.
+	// Problem.Now. Its ramp starts then.
 	ReadyAt time.Duration
 }
 
@@ -26,60 +26,65 @@
 	// Owner is empty while the shard is unowned.
 	Owner state.ServerID
 	Epoch state.Epoch
-	// Moving is true while a move of the shard is under way; it is left alone.
+	// Moving is true while a move of the shard is in progress. The shard is not
+	// moved, split or merged then.
 	Moving bool
 	// Load is the smoothed load, in busy slots.
 	Load float64
 	// HotHash is the hash of the shard's busiest key and HotShare that key's
-	// share of Load, 0 when it is not known.
+	// share of Load, 0 if it is not known.
 	HotHash  uint64
 	HotShare float64
 }
 
-// RecentMove is one move of the past, for hysteresis and the churn budget.
+// RecentMove is a past move. It counts towards hysteresis (Cooldown and Window) and
+// the churn budget.
 type RecentMove struct {
 	Range state.KeyRange
 	From  state.ServerID
 	At    time.Duration
 }
 
-// Limits bound what a decision may do.
+// Limits bounds what a decision may do.
 type Limits struct {
-	// Horizon is the time over which a better balance must pay for its moves:
-	// about as long as a load is expected to stay as it is.
+	// Horizon is the time within which the benefit of a better balance must exceed
+	// the cost of its moves: about as long as loads are expected to stay the same.
 	Horizon time.Duration
-	// Window is how long moves of the past count: for MaxChurn, and since a
-	// shard does not return to a server that it left within it.
+	// Window is how long past moves count: towards MaxChurn, and because a shard
+	// does not return to a server that it left within Window.
 	Window time.Duration
 	// Handover is the expected time without an owner during one move.
 	Handover time.Duration
-	// MaxMoves bounds the moves in flight, those under way included.
+	// MaxMoves bounds the concurrent moves, including those already in progress.
 	MaxMoves int
-	// MaxChurn bounds the share of the key space that moves for the sake of
-	// balance within Window; zero sets no bound.
+	// MaxChurn bounds the share of the key space that moves for balance within
+	// Window; zero means no bound.
 	MaxChurn float64
-	// Cooldown is how long a shard rests after a move.
+	// Cooldown is the time after a move in which a shard is not moved again for
+	// balance.
 	Cooldown time.Duration
-	// Ramp is how long a server takes from cold to its full load.
+	// Ramp is the time over which a server is ramped up to its full load.
 	Ramp time.Duration
-	// PayFactor is how many times its cost a change of balance must bring.
-	PayFactor float64
-	// MinGain is the least fall of imbalance that is worth a change.
+	// MinBenefitRatio is the lowest ratio of benefit to cost at which moves are
+	// made for balance.
+	MinBenefitRatio float64
+	// MinGain is the lowest reduction of imbalance and shortfall at which moves are
+	// made for balance.
 	MinGain float64
-	// Tolerance is the excess over the mean load, as a share of it, that counts
-	// as even: the noise of the load estimates.
+	// Tolerance is the excess of a server's utilization over the mean, as a share
+	// of the mean, that counts as balanced: the noise of the load estimates.
 	Tolerance float64
-	// ReserveUtilization is the utilization up to which servers may be loaded
-	// after the loss of one zone, 0 to 1; zero leaves the reserve out.
+	// ReserveUtilization is the utilization, 0 to 1, up to which servers may be
+	// loaded after the loss of one zone; zero turns the reserve off.
 	ReserveUtilization float64
-	// ShardsPerServer is how many shards a server has on average before cold
-	// neighbours are merged; twice as many stop splits.
+	// ShardsPerServer is the mean number of shards per server above which cold
+	// neighbours are merged. At twice this number, shards are no longer split.
 	ShardsPerServer int
-	// MinShards, if not zero, is the number of shards of the service above which
-	// cold neighbours are merged, in place of ShardsPerServer.
+	// MinShards, if not zero, replaces ShardsPerServer for merges: the number of
+	// shards of the service above which cold neighbours are merged.
 	MinShards int
-	// MergeRest is how long a shard must have been cold, and not been cut, before
-	// it is merged, so that splits and merges do not alternate.
+	// MergeRest is how long a shard must have been cold, and not been split,
+	// before it is merged, so that splits and merges do not alternate.
 	MergeRest time.Duration
 }
 
@@ -91,7 +96,7 @@
 	defaultMaxMoves           = 8
 	defaultCooldown           = 5 * time.Minute
 	defaultRamp               = 30 * time.Second
-	defaultPayFactor          = 1.5
+	defaultMinBenefitRatio    = 1.5
 	defaultMinGain            = 0.03
 	defaultTolerance          = 0.1
 	defaultReserveUtilization = 0.9
@@ -99,11 +104,11 @@
 	defaultMergeRest          = 5 * time.Minute
 )
 
-// DefaultLimits returns the limits that the product uses.
+// DefaultLimits returns the default limits.
 func DefaultLimits() Limits {
 	return Limits{
 		Horizon: defaultHorizon, Window: defaultWindow, Handover: defaultHandover, MaxMoves: defaultMaxMoves,
-		Cooldown: defaultCooldown, Ramp: defaultRamp, PayFactor: defaultPayFactor, MinGain: defaultMinGain, Tolerance: defaultTolerance,
+		Cooldown: defaultCooldown, Ramp: defaultRamp, MinBenefitRatio: defaultMinBenefitRatio, MinGain: defaultMinGain, Tolerance: defaultTolerance,
 		ReserveUtilization: defaultReserveUtilization, ShardsPerServer: defaultShardsPerServer,
 		MergeRest: defaultMergeRest,
 	}
@@ -112,7 +117,7 @@
 // DefaultWeights apply to a service whose weights are all zero.
 var DefaultWeights = state.Weights{Imbalance: 1, Churn: 5, Unavailable: 5}
 
-// Problem is everything that a decision rests on.
+// Problem is the complete input of a decision.
 type Problem struct {
 	Weights state.Weights
 	Servers []Server
@@ -123,7 +128,7 @@
 	Now time.Duration
 }
 
-// Reason tells why a shard moves.
+// Reason is why a shard moves.
 type Reason string
 
 // Reasons of a move.
@@ -134,13 +139,13 @@
 	ReasonBalance Reason = "balance"
 	// ReasonHotKey: one busy key moves alone.
 	ReasonHotKey Reason = "hot_key"
-	// ReasonReunite: a cold key goes back to the owner of its neighbours, to be
-	// merged with them.
+	// ReasonReunite: a cold narrow shard moves to the owner of its neighbour, to be
+	// merged with it.
 	ReasonReunite Reason = "reunite"
 )
 
-// Move is one change of owner. With Isolate set, only the key with the hash
-// moves, after it was split off.
+// Move is one change of owner. If Isolate is set, only the key with the hash Hash
+// moves, after it is split off.
 type Move struct {
 	Shard   state.ShardID
 	Epoch   state.Epoch
@@ -151,49 +156,52 @@
 	Range   state.KeyRange
 	Load    float64
 	Reason  Reason
-	// Cost is the predicted price of the move, in units of the weights.
+	// Cost is the predicted cost of the move, in units of the weights.
 	Cost float64
 }
 
-// Split proposes to cut Part out of a shard whose owner stays the same.
+// Split proposes to split Part off a shard. The owner stays the same.
 type Split struct {
 	Shard state.ShardID
 	Epoch state.Epoch
 	Part  state.KeyRange
 }
 
-// Merge proposes to join two neighbours with the same owner: First comes
-// directly before Second in the key space.
+// Merge proposes to merge two neighbours with the same owner. First is directly
+// before Second in the key space.
 type Merge struct {
 	First, Second state.ShardID
 }
 
-// Measure is what a decision is judged by.
+// Measure holds the quantities that a decision improves.
 type Measure struct {
-	// Imbalance is the highest load / the mean load, per slot; 1 is even.
+	// Imbalance is the highest utilization of a server divided by the mean
+	// utilization; 1 is perfectly balanced.
 	Imbalance float64
-	// Shortfall is the share of the load that would find no room if the worst
-	// zone were lost; 0 when there is room for all.
+	// Shortfall is the share of the load that would exceed ReserveUtilization if
+	// the worst zone were lost; 0 if there is capacity for all of it.
 	Shortfall float64
 }
 
-// Decision is what placement proposes, with its predicted effect.
+// Decision holds the proposed changes with their predicted effect.
 type Decision struct {
-	// Moves are in the order in which they should begin, within the limits.
+	// Moves are in the order in which they should start, within the limits.
 	Moves  []Move
 	Splits []Split
 	Merges []Merge
-	// Before and After predict the effect of Moves and of the deferred ones.
+	// Before and After are the present measure and the predicted one after Moves
+	// and the deferred moves. Moves with ReasonReunite are not part of the
+	// prediction.
 	Before, After Measure
-	// Churn is the share of the key space that Moves give another owner.
+	// Churn is the share of the key space whose owner Moves change.
 	Churn float64
-	// Unavailable is the expected time without an owner, summed over Moves and
-	// weighted by each one's share of the keys or of the load, whichever is
-	// larger.
+	// Unavailable is the expected time without an owner, summed over Moves except
+	// those with ReasonReunite and weighted by each one's share of the keys or of
+	// the load, whichever is larger.
 	Unavailable time.Duration
-	// Benefit and Cost are in units of the weights, for the moves that are made
-	// for the sake of balance, deferred ones included.
+	// Benefit and Cost, in units of the weights, are those of the moves for
+	// balance, including deferred ones.
 	Benefit, Cost float64
-	// Deferred counts moves that wait for the limits.
+	// Deferred is the number of planned moves that the limits do not allow yet.
 	Deferred int
 }
