--- a/internal/planner/adopt.go
+++ b/internal/planner/adopt.go
@@ -9,30 +9,33 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
-// setMode switches the authority over a service, or imports a newer ownership
-// map of a service that is observed already.
+// setMode plans a change of a service's mode, which determines who decides about
+// ownership: the controllers or the operator's scripts. If the service is observed
+// already, setMode plans the import of a newer ownership map.
 func (d *draft) setMode(request state.SetMode) error {
 	current, err := d.service("set_mode.service", request.Service)
 	if err != nil {
 		return err
 	}
 	switch {
-	case current.Mode != request.Mode && !emptyMap(request.Map):
+	case current.Mode != request.Mode && !isEmptyMap(request.Map):
 		return fault.New(fault.InvalidArgument,
 			"set_mode.map: the owners stay as they are while the mode changes: leave it out, and import a map afterwards")
 	case current.Mode != request.Mode:
 		return d.changeMode(current, request.Mode)
-	case current.Mode == state.ModeObserved && !emptyMap(request.Map):
+	case current.Mode == state.ModeObserved && !isEmptyMap(request.Map):
 		return d.importMap(current, request.Map)
 	default:
 		return fault.Newf(fault.Conflict, "set_mode.mode: service %q is %s already", request.Service, request.Mode)
 	}
 }
 
-func emptyMap(imported state.OwnershipMap) bool {
-	return len(imported.Ranges) == 0 && len(imported.Keys) == 0 && imported.Rest == ""
+func isEmptyMap(ownership state.OwnershipMap) bool {
+	return len(ownership.Ranges) == 0 && len(ownership.Keys) == 0 && ownership.Rest == ""
 }
 
+// changeMode plans a change of mode. It requires that every shard has an owner and
+// none is moving.
 func (d *draft) changeMode(service state.Service, mode state.ServiceMode) error {
 	if shard, found := d.view.Unsettled(service.Name); found {
 		return fault.Newf(fault.Conflict, "set_mode.service: shard %d of %q is moving or has no owner: wait until status shows all owned", shard, service.Name)
@@ -49,13 +52,14 @@
 	return nil
 }
 
+// importMap plans that a newer ownership map replaces that of an observed service.
 func (d *draft) importMap(service state.Service, imported state.OwnershipMap) error {
 	members := make(map[state.ServerID]bool)
 	for _, server := range d.view.ServersOf(service.Name) {
 		members[server.ID] = true
 	}
-	before := d.keySpaceOf(service.Name)
-	if err := d.observe(service, imported, members); err != nil {
+	before := d.keySpaceShares(service.Name)
+	if err := d.addObserveOperation(service, imported, members); err != nil {
 		return err
 	}
 	d.plan.Prediction.ImbalanceBefore = imbalance(before)
@@ -70,10 +74,11 @@
 	return members
 }
 
-// observe adds the operation that routes by an imported map.
-func (d *draft) observe(service state.Service, imported state.OwnershipMap, members map[state.ServerID]bool) error {
+// addObserveOperation adds the operation by which requests are routed according to
+// an imported map.
+func (d *draft) addObserveOperation(service state.Service, imported state.OwnershipMap, members map[state.ServerID]bool) error {
 	if !service.Keyed {
-		if !emptyMap(imported) {
+		if !isEmptyMap(imported) {
 			return fault.New(fault.InvalidArgument, "map: the service has no keys: leave the map out")
 		}
 		return nil
@@ -82,21 +87,21 @@
 	if err != nil {
 		return err
 	}
-	load := make(map[state.ServerID]float64, len(members))
+	shares := make(map[state.ServerID]float64, len(members))
 	for member := range members {
-		load[member] = 0
+		shares[member] = 0
 	}
 	for _, owned := range ranges {
-		load[owned.Server] += owned.Range.Width()
+		shares[owned.Server] += owned.Range.Width()
 	}
-	d.plan.Prediction.ImbalanceAfter = imbalance(load)
+	d.plan.Prediction.ImbalanceAfter = imbalance(shares)
 	d.add(state.Operation{ObserveRanges: &state.ObserveRanges{Service: service.Name, Ranges: ranges}},
 		"requests to %s are routed by the imported map of %d ranges; its owners stay as the scripts decide", service.Name, len(ranges))
 	return nil
 }
 
-// composeMap returns ranges that cover the key space in order, without a gap or
-// an overlap.
+// composeMap returns the owned ranges of a map. They cover the key space in order,
+// without gaps or overlaps.
 func composeMap(imported state.OwnershipMap, members map[state.ServerID]bool) ([]state.OwnedRange, error) {
 	if len(imported.Ranges)+2*len(imported.Keys) > maxShards {
 		return nil, fault.Newf(fault.InvalidArgument, "map: %d ranges and %d keys: use at most %d shards a service",
@@ -109,7 +114,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return overlayKeys(base, imported.Keys)
+	return splitOffKeys(base, imported.Keys)
 }
 
 func checkOwners(imported state.OwnershipMap, members map[state.ServerID]bool) error {
@@ -139,23 +144,23 @@
 	return fault.Newf(fault.InvalidArgument, "%s: %q is no server of the service: add it first", field, server)
 }
 
-// fillGaps sorts the ranges and gives what none covers to Rest.
+// fillGaps returns the ranges in order, with the gaps assigned to Rest.
 func fillGaps(imported state.OwnershipMap) ([]state.OwnedRange, error) {
 	sorted := sortedRanges(imported.Ranges)
 	var covering []state.OwnedRange
-	next, full := uint64(0), false
+	next, complete := uint64(0), false
 	for _, owned := range sorted {
-		if full || owned.Range.First < next {
+		if complete || owned.Range.First < next {
 			return nil, fault.Newf(fault.InvalidArgument, "map.ranges.range: %d to %d overlaps another: give each hash to one server", owned.Range.First, owned.Range.Last)
 		}
 		if owned.Range.First > next {
 			covering = append(covering, state.OwnedRange{Range: state.KeyRange{First: next, Last: owned.Range.First - 1}, Server: imported.Rest})
 		}
 		covering = append(covering, owned)
-		full = owned.Range.Last == math.MaxUint64
+		complete = owned.Range.Last == math.MaxUint64
 		next = owned.Range.Last + 1
 	}
-	if !full {
+	if !complete {
 		covering = append(covering, state.OwnedRange{Range: state.KeyRange{First: next, Last: math.MaxUint64}, Server: imported.Rest})
 	}
 	for _, owned := range covering {
@@ -167,47 +172,47 @@
 	return covering, nil
 }
 
-// overlayKeys cuts single hashes out of the ranges that hold them.
-func overlayKeys(base []state.OwnedRange, keys []state.OwnedKey) ([]state.OwnedRange, error) {
-	alone, err := hashOwners(keys)
+// splitOffKeys splits the hashes of single keys off the ranges that contain them.
+func splitOffKeys(base []state.OwnedRange, keys []state.OwnedKey) ([]state.OwnedRange, error) {
+	keyRanges, err := singleHashRanges(keys)
 	if err != nil {
 		return nil, err
 	}
-	result := make([]state.OwnedRange, 0, len(base)+2*len(alone))
-	position := 0
+	result := make([]state.OwnedRange, 0, len(base)+2*len(keyRanges))
+	index := 0
 	for _, owned := range base {
 		next := owned.Range.First
-		open := true
-		for ; position < len(alone) && alone[position].Range.First <= owned.Range.Last; position++ {
-			hash := alone[position].Range.First
+		hasTail := true
+		for ; index < len(keyRanges) && keyRanges[index].Range.First <= owned.Range.Last; index++ {
+			hash := keyRanges[index].Range.First
 			if hash > next {
 				result = append(result, state.OwnedRange{Range: state.KeyRange{First: next, Last: hash - 1}, Server: owned.Server})
 			}
-			result = append(result, alone[position])
-			open = hash < owned.Range.Last
+			result = append(result, keyRanges[index])
+			hasTail = hash < owned.Range.Last
 			next = hash + 1
 		}
-		if open {
+		if hasTail {
 			result = append(result, state.OwnedRange{Range: state.KeyRange{First: next, Last: owned.Range.Last}, Server: owned.Server})
 		}
 	}
 	return result, nil
 }
 
-// hashOwners returns the ranges of one hash each, in order.
-func hashOwners(keys []state.OwnedKey) ([]state.OwnedRange, error) {
-	alone := make([]state.OwnedRange, 0, len(keys))
+// singleHashRanges returns a range for the hash of each key, in order.
+func singleHashRanges(keys []state.OwnedKey) ([]state.OwnedRange, error) {
+	ranges := make([]state.OwnedRange, 0, len(keys))
 	for _, owned := range keys {
 		hash := state.HashKey(owned.Key)
-		alone = append(alone, state.OwnedRange{Range: state.KeyRange{First: hash, Last: hash}, Server: owned.Server})
+		ranges = append(ranges, state.OwnedRange{Range: state.KeyRange{First: hash, Last: hash}, Server: owned.Server})
 	}
-	alone = sortedRanges(alone)
-	for position := 1; position < len(alone); position++ {
-		if alone[position].Range.First == alone[position-1].Range.First {
-			return nil, fault.Newf(fault.InvalidArgument, "map.keys: two keys share the hash %d: list each key once", alone[position].Range.First)
+	ranges = sortedRanges(ranges)
+	for index := 1; index < len(ranges); index++ {
+		if ranges[index].Range.First == ranges[index-1].Range.First {
+			return nil, fault.Newf(fault.InvalidArgument, "map.keys: two keys share the hash %d: list each key once", ranges[index].Range.First)
 		}
 	}
-	return alone, nil
+	return ranges, nil
 }
 
 func sortedRanges(ranges []state.OwnedRange) []state.OwnedRange {
--- a/internal/planner/adopt_test.go
+++ b/internal/planner/adopt_test.go
@@ -16,7 +16,8 @@
 
 var members = map[state.ServerID]bool{"a": true, "b": true, "c": true}
 
-// randomMap draws disjoint ranges, keys and a rest.
+// randomMap returns a random map with disjoint ranges, single keys and an owner of the
+// rest.
 func randomMap(random *rand.Rand) state.OwnershipMap {
 	names := []state.ServerID{"a", "b", "c"}
 	drawn := state.OwnershipMap{Rest: names[random.IntN(len(names))]}
@@ -40,8 +41,9 @@
 	return drawn
 }
 
-// ownerIn answers by the map alone: keys, then ranges, then rest.
-func ownerIn(imported state.OwnershipMap, hash uint64) state.ServerID {
+// expectedOwner returns the owner of a hash according to the map: by its keys, else by
+// its ranges, else Rest.
+func expectedOwner(imported state.OwnershipMap, hash uint64) state.ServerID {
 	for _, owned := range imported.Keys {
 		if state.HashKey(owned.Key) == hash {
 			return owned.Server
@@ -69,10 +71,10 @@
 		for position, owned := range ranges {
 			last := position == len(ranges)-1
 			if owned.Range.First != next || owned.Range.Last < owned.Range.First || last != (owned.Range.Last == math.MaxUint64) {
-				return fmt.Sprintf("range %d is %+v after %d", position, owned.Range, next)
+				return fmt.Sprintf("range %d is %+v, want one that starts at %d, and only the last to end at the maximum", position, owned.Range, next)
 			}
 			for _, hash := range []uint64{owned.Range.First, owned.Range.Last} {
-				if want := ownerIn(imported, hash); owned.Server != want {
+				if want := expectedOwner(imported, hash); owned.Server != want {
 					return fmt.Sprintf("hash %d belongs to %s, want %s", hash, owned.Server, want)
 				}
 			}
@@ -84,21 +86,21 @@
 }
 
 func TestMapsThatAreRefused(t *testing.T) {
-	full := state.KeyRange{Last: math.MaxUint64}
+	keySpace := state.KeyRange{Last: math.MaxUint64}
 	tests := map[string]state.OwnershipMap{
 		"nothing covers the key space":  {},
 		"gap without rest":              {Ranges: []state.OwnedRange{{Range: state.KeyRange{First: 5, Last: math.MaxUint64}, Server: "a"}}},
-		"overlap":                       {Ranges: []state.OwnedRange{{Range: full, Server: "a"}, {Range: state.KeyRange{First: 7, Last: 8}, Server: "b"}}},
+		"overlap":                       {Ranges: []state.OwnedRange{{Range: keySpace, Server: "a"}, {Range: state.KeyRange{First: 7, Last: 8}, Server: "b"}}},
 		"empty range":                   {Ranges: []state.OwnedRange{{Range: state.KeyRange{First: 8, Last: 7}, Server: "b"}}, Rest: "a"},
 		"server of another service":     {Rest: "x"},
 		"key of another service's":      {Keys: []state.OwnedKey{{Key: "k", Server: "x"}}, Rest: "a"},
 		"one key twice":                 {Keys: []state.OwnedKey{{Key: "k", Server: "a"}, {Key: "k", Server: "b"}}, Rest: "a"},
 		"key without a name":            {Keys: []state.OwnedKey{{Server: "a"}}, Rest: "a"},
-		"range up to the end, then one": {Ranges: []state.OwnedRange{{Range: full, Server: "a"}, {Range: full, Server: "a"}}},
+		"range up to the end, then one": {Ranges: []state.OwnedRange{{Range: keySpace, Server: "a"}, {Range: keySpace, Server: "a"}}},
 	}
 	for name, imported := range tests {
 		if _, err := composeMap(imported, members); fault.KindOf(err) != fault.InvalidArgument {
-			t.Errorf("%s: error is %v", name, err)
+			t.Errorf("%s: error %v, want invalid_argument", name, err)
 		}
 	}
 }
--- a/internal/planner/check.go
+++ b/internal/planner/check.go
@@ -9,7 +9,7 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
-// Bounds of an intent.
+// Bounds of the fields of an intent.
 const (
 	maxShards         = 1 << 20
 	maxServers        = 1024
@@ -55,9 +55,9 @@
 	}
 }
 
-// checkContent requires the one field that Kind names, and no other.
+// checkContent checks that the field that Kind names is set, and no other.
 func checkContent(intent state.Intent) error {
-	present := []struct {
+	contents := []struct {
 		kind state.IntentKind
 		set  bool
 	}{
@@ -73,8 +73,8 @@
 		{state.IntentRestoreZone, intent.RestoreZone != nil},
 		{state.IntentRelease, intent.Release != nil},
 	}
-	for _, field := range present {
-		if field.set != (field.kind == intent.Kind) {
+	for _, content := range contents {
+		if content.set != (content.kind == intent.Kind) {
 			return fault.Newf(fault.InvalidArgument, "kind: %q needs the field %q and no other intent: send exactly that one", intent.Kind, intent.Kind)
 		}
 	}
@@ -121,10 +121,11 @@
 	return nil
 }
 
+// checkMode checks the mode of a new service and the fields that depend on it.
 func checkMode(request state.CreateService) error {
 	switch request.Mode {
 	case "", state.ModeManaged:
-		if !emptyMap(request.Map) {
+		if !isEmptyMap(request.Map) {
 			return fault.New(fault.InvalidArgument, "create_service.map: is for observed services: leave it out, or set mode to observed")
 		}
 		return nil
@@ -168,19 +169,19 @@
 	if len(specs) > maxServers {
 		return fault.Newf(fault.InvalidArgument, "%s: %d entries: use at most %d a plan", field, len(specs), maxServers)
 	}
-	names := make(map[state.ServerID]bool, len(specs))
+	ids := make(map[state.ServerID]bool, len(specs))
 	addresses := make(map[string]state.ServerID, len(specs))
 	for _, spec := range specs {
 		if err := checkServer(field, spec); err != nil {
 			return err
 		}
-		if names[spec.ID] {
+		if ids[spec.ID] {
 			return fault.Newf(fault.InvalidArgument, "%s.id: %q stands twice: give each server its own id", field, spec.ID)
 		}
 		if other, taken := addresses[spec.Address]; taken {
 			return fault.Newf(fault.InvalidArgument, "%s.address: %q is given to %q and %q: give each server its own", field, spec.Address, other, spec.ID)
 		}
-		names[spec.ID] = true
+		ids[spec.ID] = true
 		addresses[spec.Address] = spec.ID
 	}
 	return nil
--- a/internal/planner/merge.go
+++ b/internal/planner/merge.go
@@ -5,8 +5,8 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
-// mergeShards plans that two neighbours become one shard. The one with the lower
-// keys stays, under its identifier.
+// mergeShards plans the merge of two neighbouring shards. The merged shard keeps the
+// identifier of the one with the lower hashes.
 func (d *draft) mergeShards(request state.MergeNeighbours) error {
 	if _, err := d.managedService("merge_shards.service", request.Service); err != nil {
 		return err
@@ -39,6 +39,7 @@
 	return nil
 }
 
+// shard returns a shard of the service that has an owner and is not moving.
 func (d *draft) shard(field string, service state.ServiceName, id state.ShardID) (state.Shard, error) {
 	shard, found := d.view.Shard(id)
 	if !found || shard.Service != service {
@@ -50,6 +51,7 @@
 	return shard, nil
 }
 
+// checkNeighbours checks that second directly follows first and has the same owner.
 func checkNeighbours(first, second state.Shard) error {
 	if first.ID == second.ID || first.Range.Last+1 != second.Range.First {
 		return fault.Newf(fault.InvalidArgument, "merge_shards.second: shards %d and %d are no neighbours: get shards lists them in the order of their keys", first.ID, second.ID)
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -14,20 +14,20 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
-// Costs tells what moves took so far.
-type Costs interface {
-	// Expected returns how long a moved shard of the service had no owner, or
-	// false while no move was measured.
+// HandoverTimes provides the measured handover times of services.
+type HandoverTimes interface {
+	// Expected returns the expected time for which a moved shard of the service
+	// has no owner, or false if no move has been measured.
 	Expected(service state.ServiceName) (time.Duration, bool)
 }
 
-// Build returns the plan that answers an intent. Errors are of the kinds
-// invalid_argument, not_found and conflict.
-func Build(view *state.State, costs Costs, intent state.Intent) (state.Plan, error) {
+// Build returns the plan for an intent. Errors are of the kinds invalid_argument,
+// not_found and conflict.
+func Build(view *state.State, handoverTimes HandoverTimes, intent state.Intent) (state.Plan, error) {
 	if err := checkIntent(intent); err != nil {
 		return state.Plan{}, err
 	}
-	draft := &draft{view: view, costs: costs, plan: state.Plan{
+	draft := &draft{view: view, handoverTimes: handoverTimes, plan: state.Plan{
 		ID:     state.PlanID(intent.ID),
 		Intent: intent,
 		Status: state.PlanStored,
@@ -40,20 +40,22 @@
 	return draft.plan, nil
 }
 
+// digest returns a hash of the operations, by which the operator confirms exactly
+// these.
 func digest(operations []state.Operation) string {
 	encoded, err := codec.Marshal(operations)
 	if err != nil {
-		// The types hold no value that msgpack cannot encode.
+		// Unreachable: the types contain nothing that msgpack cannot encode.
 		panic("planner: encode operations: " + err.Error())
 	}
 	return strconv.FormatUint(xxhash.Sum64(encoded), 16)
 }
 
-// draft is a plan in the making.
+// draft is a plan that is being built.
 type draft struct {
-	view  *state.State
-	costs Costs
-	plan  state.Plan
+	view          *state.State
+	handoverTimes HandoverTimes
+	plan          state.Plan
 }
 
 func (d *draft) build(intent state.Intent) error {
@@ -85,6 +87,7 @@
 	}
 }
 
+// add appends an operation with its reason, a format string for the arguments.
 func (d *draft) add(operation state.Operation, reason string, arguments ...any) {
 	d.plan.Operations = append(d.plan.Operations, operation)
 	d.plan.Reasons = append(d.plan.Reasons, fmt.Sprintf(reason, arguments...))
@@ -103,7 +106,7 @@
 		return err
 	}
 	if service.Mode == state.ModeObserved {
-		return d.observe(service, request.Map, serverSet(request.Servers))
+		return d.addObserveOperation(service, request.Map, serverSet(request.Servers))
 	}
 	if request.Keyed {
 		d.add(state.Operation{CreateShards: &state.CreateShards{Service: request.Name, Count: request.Shards}},
@@ -164,8 +167,9 @@
 	return nil
 }
 
-// checkReplacement allows a retired server to come back and a known one to be
-// described anew, but not to change its service.
+// checkReplacement checks that a server may be replaced by a new description. A
+// retired server may return and a known one may change, but not its service, nor
+// its address while its session is open.
 func checkReplacement(current, replacement state.Server) error {
 	if current.Service != replacement.Service {
 		return fault.Newf(fault.Conflict, "servers.id: %q belongs to service %q: choose another id", current.ID, current.Service)
@@ -188,7 +192,7 @@
 	if shard.Phase != state.ShardOwned || shard.Target != "" {
 		return fault.Newf(fault.Conflict, "move_key.key: %q is moving or has no owner: wait until status shows it owned", request.Key)
 	}
-	target, err := d.target(request, shard)
+	target, err := d.moveTarget(request, shard)
 	if err != nil {
 		return err
 	}
@@ -198,9 +202,9 @@
 	return nil
 }
 
-func (d *draft) target(request state.MoveKey, shard state.Shard) (state.Server, error) {
+func (d *draft) moveTarget(request state.MoveKey, shard state.Shard) (state.Server, error) {
 	if request.To == "" {
-		return d.leastLoaded(request.Service, shard.Owner)
+		return d.serverWithFewestShards(request.Service, shard.Owner)
 	}
 	target, found := d.view.Server(request.To)
 	if !found || target.Service != request.Service {
@@ -209,20 +213,22 @@
 	if target.ID == shard.Owner {
 		return state.Server{}, fault.Newf(fault.InvalidArgument, "move_key.to: %q owns the key already: choose another server", request.To)
 	}
-	if !takesShards(target) {
+	if !acceptsShards(target) {
 		return state.Server{}, fault.Newf(fault.Conflict, "move_key.to: %q is down, leaving or retired: choose another server", request.To)
 	}
 	return target, nil
 }
 
-func takesShards(server state.Server) bool {
+// acceptsShards reports whether a server can be given shards: its session is open,
+// and it is not retiring, leaving or in an evacuated zone.
+func acceptsShards(server state.Server) bool {
 	return server.Session.Open && server.Intent == state.ServerActive && !server.Withdrawn()
 }
 
-func (d *draft) leastLoaded(service state.ServiceName, except state.ServerID) (state.Server, error) {
+func (d *draft) serverWithFewestShards(service state.ServiceName, except state.ServerID) (state.Server, error) {
 	var best state.Server
 	for _, server := range d.view.ServersOf(service) {
-		if server.ID == except || !takesShards(server) {
+		if server.ID == except || !acceptsShards(server) {
 			continue
 		}
 		if best.ID == "" || d.view.OwnedCount(server.ID) < d.view.OwnedCount(best.ID) {
@@ -235,7 +241,8 @@
 	return best, nil
 }
 
-// managedService returns a service whose ownership the controllers decide.
+// managedService returns a service, or an error if it is observed: then its own
+// scripts decide about ownership, not the controllers.
 func (d *draft) managedService(field string, name state.ServiceName) (state.Service, error) {
 	service, err := d.service(field, name)
 	if err == nil && service.Mode == state.ModeObserved {
--- a/internal/planner/release.go
+++ b/internal/planner/release.go
@@ -6,7 +6,8 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
-// release plans that a request in quarantine is sent to servers again.
+// release plans the release of a request from quarantine, after which it is sent to
+// servers again.
 func (d *draft) release(request state.ReleaseRequest) error {
 	fingerprint, err := directory.ParseFingerprint(request.Fingerprint)
 	if err != nil {
--- a/internal/planner/release_test.go
+++ b/internal/planner/release_test.go
@@ -8,8 +8,9 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
-// TestReleaseIsPlannedAndConfirmed: nothing changes before the confirmation; what is not in
-// quarantine, or is no fingerprint, is named; a plan that somebody went before is stale.
+// TestReleaseIsPlannedAndConfirmed: a release takes effect when its plan is confirmed, not
+// before. An invalid fingerprint and a request that is not in quarantine are rejected, and a
+// plan is stale once another plan has released the request.
 func TestReleaseIsPlannedAndConfirmed(t *testing.T) {
 	view := state.New()
 	revision := state.Revision(1)
@@ -23,27 +24,27 @@
 		directory.Fingerprint(6).String(): fault.NotFound, directory.Fingerprint(7).String(): fault.NotFound,
 	} {
 		if _, err := Build(view, nil, intent("bad", fingerprint)); fault.KindOf(err) != kind {
-			t.Errorf("%q: %v, want kind %s", fingerprint, err, kind)
+			t.Errorf("fingerprint %q: error %v, want kind %s", fingerprint, err, kind)
 		}
 	}
-	late, err := Build(view, nil, intent("late", directory.Fingerprint(5).String()))
+	stale, err := Build(view, nil, intent("late", directory.Fingerprint(5).String()))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if suspect, _ := view.Directory().Suspect(5); !suspect.Quarantined {
-		t.Error("a plan alone released it")
+		t.Error("building the plan released the request")
 	}
-	if _, err := confirmed(t, view, &revision, intent("first", directory.Fingerprint(5).String())); err != nil {
+	if _, err := buildAndConfirm(t, view, &revision, intent("first", directory.Fingerprint(5).String())); err != nil {
 		t.Fatal(err)
 	}
 	if suspect, _ := view.Directory().Suspect(5); suspect.Quarantined {
-		t.Error("still in quarantine after the confirmation")
+		t.Error("the request is still in quarantine after the confirmation")
 	}
 	revision++
-	view.Apply(uint64(revision), state.Command{StorePlan: &state.StorePlan{Plan: late}})
+	view.Apply(uint64(revision), state.Command{StorePlan: &state.StorePlan{Plan: stale}})
 	revision++
-	result := view.Apply(uint64(revision), state.Command{ConfirmPlan: &state.ConfirmPlan{Plan: late.ID, Digest: late.Digest, Operator: "o"}})
+	result := view.Apply(uint64(revision), state.Command{ConfirmPlan: &state.ConfirmPlan{Plan: stale.ID, Digest: stale.Digest, Operator: "o"}})
 	if result.Err == nil || result.Err.Kind != fault.StalePlan {
-		t.Errorf("a plan that somebody went before: %v", result.Err)
+		t.Errorf("plan of a request that is released already: error %v, want stale_plan", result.Err)
 	}
 }
--- a/internal/planner/retire.go
+++ b/internal/planner/retire.go
@@ -5,6 +5,7 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
+// retireServer plans that a server retires, with the moves of its shards.
 func (d *draft) retireServer(request state.RetireServer) error {
 	server, found := d.view.Server(request.Server)
 	if !found {
@@ -18,7 +19,7 @@
 			return err
 		}
 	}
-	moves, err := d.spread(server)
+	moves, err := d.evacuationMoves(server)
 	if err != nil {
 		return err
 	}
@@ -31,14 +32,15 @@
 	return nil
 }
 
-// spread plans the moves of all shards of a server to the others, each to the
-// one that owns the fewest at that point.
-func (d *draft) spread(server state.Server) ([]state.MoveShard, error) {
+// evacuationMoves returns the moves of a server's shards to the others, each to the
+// one that owns the fewest at that point, and predicts their effect. Shards that are
+// moving already are left out.
+func (d *draft) evacuationMoves(server state.Server) ([]state.MoveShard, error) {
 	owned := d.view.OwnedBy(server.ID)
 	if len(owned) == 0 {
 		return nil, nil
 	}
-	counts := d.countsWithout(server)
+	counts := d.countsOfOthers(server)
 	if len(counts) == 0 {
 		return nil, fault.Newf(fault.Conflict, "retire_server.server: service %q has no other server that can take shards: add servers first", server.Service)
 	}
@@ -48,7 +50,7 @@
 		if shard.Phase != state.ShardOwned || shard.Target != "" {
 			continue
 		}
-		target := fewest(counts)
+		target := fewestShards(counts)
 		target.shards++
 		moves = append(moves, state.MoveShard{Shard: shard.ID, Epoch: shard.Epoch, From: server.ID, To: target.server})
 		planned = append(planned, plannedMove{from: server.ID, to: target.server, width: shard.Range.Width()})
@@ -62,17 +64,19 @@
 	shards int
 }
 
-func (d *draft) countsWithout(server state.Server) []*shardCount {
+// countsOfOthers returns the shard counts of the service's other servers that accept
+// shards.
+func (d *draft) countsOfOthers(server state.Server) []*shardCount {
 	var counts []*shardCount
 	for _, other := range d.view.ServersOf(server.Service) {
-		if other.ID != server.ID && takesShards(other) {
+		if other.ID != server.ID && acceptsShards(other) {
 			counts = append(counts, &shardCount{server: other.ID, shards: d.view.OwnedCount(other.ID)})
 		}
 	}
 	return counts
 }
 
-func fewest(counts []*shardCount) *shardCount {
+func fewestShards(counts []*shardCount) *shardCount {
 	best := counts[0]
 	for _, count := range counts[1:] {
 		if count.shards < best.shards {
@@ -82,7 +86,7 @@
 	return best
 }
 
-// rebalance moves whole shards from the servers that own most of the key space
+// rebalance plans moves of whole shards from servers that own more of the key space
 // to those that own least, as long as each move narrows the gap.
 func (d *draft) rebalance(request state.Rebalance) error {
 	if _, err := d.managedService("rebalance.service", request.Service); err != nil {
--- a/internal/planner/zone_test.go
+++ b/internal/planner/zone_test.go
@@ -17,8 +17,9 @@
 	return state.Intent{ID: state.IntentID(id), Kind: state.IntentRestoreZone, RestoreZone: request}
 }
 
-// confirmed plans an intent, confirms it, and returns the error of either.
-func confirmed(t *testing.T, view *state.State, revision *state.Revision, intent state.Intent) (state.Plan, error) {
+// buildAndConfirm builds, stores and confirms the plan of an intent. It returns the first
+// error.
+func buildAndConfirm(t *testing.T, view *state.State, revision *state.Revision, intent state.Intent) (state.Plan, error) {
 	t.Helper()
 	plan, err := Build(view, nil, intent)
 	if err != nil {
@@ -35,8 +36,9 @@
 	return plan, nil
 }
 
-// TestZonesArePlannedAndConfirmed: nothing changes before the confirmation; servers and
-// instances follow alike; what is so already, or nobody knows, is named.
+// TestZonesArePlannedAndConfirmed: an evacuation or restoration takes effect when its plan is
+// confirmed, not before, for servers and instances alike. An unknown zone and a zone that is
+// in the requested state already are rejected.
 func TestZonesArePlannedAndConfirmed(t *testing.T) {
 	view := state.New()
 	revision := state.Revision(1)
@@ -47,38 +49,38 @@
 		Name: "own", Settings: state.ServiceSettings{QueueLimit: 1, RequestLimit: 1, MaxMoves: 1, DefaultTimeoutMs: 100},
 		Servers: []state.ServerSpec{{ID: "server", Address: "127.0.0.1:2", Zone: "west", Slots: 1, Connections: 1}},
 	}}
-	if _, err := confirmed(t, view, &revision, created); err != nil {
+	if _, err := buildAndConfirm(t, view, &revision, created); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Build(view, nil, zoneIntent("unknown", "nowhere", true)); !fault.Is(err, fault.NotFound) {
-		t.Errorf("an unknown zone: %v", err)
+		t.Errorf("evacuation of an unknown zone: error %v, want not_found", err)
 	}
 	if _, err := Build(view, nil, zoneIntent("early", "west", false)); !fault.Is(err, fault.Conflict) {
-		t.Errorf("a zone that is in service is restored: %v", err)
+		t.Errorf("restoration of a zone in service: error %v, want conflict", err)
 	}
 	plan, err := Build(view, nil, zoneIntent("p1", "west", true))
 	if err != nil || view.Directory().Evacuated("west") || !strings.Contains(strings.Join(plan.Reasons, "\n"), "no other zone serves") {
-		t.Fatalf("the plan %+v, %v", plan, err)
+		t.Fatalf("plan %+v, error %v, want a warning and no change before the confirmation", plan, err)
 	}
-	if _, err := confirmed(t, view, &revision, zoneIntent("p2", "west", true)); err != nil {
+	if _, err := buildAndConfirm(t, view, &revision, zoneIntent("p2", "west", true)); err != nil {
 		t.Fatal(err)
 	}
 	server, _ := view.Server("server")
 	if !view.Directory().Evacuated("west") || !server.Withdrawn() {
-		t.Errorf("after the confirmation: server %+v, zones %+v", server, view.Directory().Zones())
+		t.Errorf("after the confirmation: server %+v, zones %+v, want both evacuated", server, view.Directory().Zones())
 	}
 	if result := view.Apply(uint64(revision+1), state.Command{StorePlan: &state.StorePlan{Plan: plan}}); result.Err != nil {
 		t.Fatal(result.Err)
 	}
 	result := view.Apply(uint64(revision+2), state.Command{ConfirmPlan: &state.ConfirmPlan{Plan: plan.ID, Digest: plan.Digest}})
 	if !fault.Is(result.Err, fault.StalePlan) {
-		t.Errorf("a second plan of the same: %v", result.Err)
+		t.Errorf("second plan of the same evacuation: error %v, want stale_plan", result.Err)
 	}
 	revision += 2
-	if _, err := confirmed(t, view, &revision, zoneIntent("p3", "west", false)); err != nil {
+	if _, err := buildAndConfirm(t, view, &revision, zoneIntent("p3", "west", false)); err != nil {
 		t.Fatal(err)
 	}
 	if server, _ := view.Server("server"); server.Withdrawn() {
-		t.Errorf("after the restoration: server %+v", server)
+		t.Errorf("after the restoration: server %+v, want it in service", server)
 	}
 }
