--- a/internal/placement/estimate.go
+++ b/internal/placement/estimate.go
@@ -79,8 +79,8 @@
 }
 
 // Observe updates the estimates with the observations of one interval, which may
-// be of any of the shards. A shard that its server's report leaves out has a known
-// load of zero, not an unknown load.
+// be of any of the shards. If a server's report leaves out one of its shards, the
+// caller passes a known load of zero for it, not an unknown one.
 func (e *Estimator) Observe(now time.Duration, observations []Observation) {
 	floor := e.floor(observations)
 	for _, observation := range observations {
--- a/internal/placement/merge.go
+++ b/internal/placement/merge.go
@@ -86,7 +86,8 @@
 	if s.layout.limits.MinShards == 0 || narrow.Range.Width() > maxWidth || owner == nil || !owner.Accepts {
 		return moves
 	}
-	if s.layout.excludedFromBalance(narrow) || s.layout.leftRecently(narrow, wide.Owner) || slices.ContainsFunc(moves, func(m Move) bool { return m.Shard == narrow.ID }) {
+	if s.layout.excludedFromBalance(narrow) || s.layout.leftRecently(narrow, wide.Owner) ||
+		slices.ContainsFunc(moves, func(m Move) bool { return m.Shard == narrow.ID }) {
 		return moves
 	}
 	return append(moves, Move{
@@ -132,9 +133,9 @@
 // MergeShard removes a shard that was merged into its neighbour, and adds its load
 // and its recent moves to the neighbour. PutShard sets the neighbour's new range.
 func (l *Layout) MergeShard(into, gone state.ShardID) {
-	position, known := l.positions[into]
-	from, found := l.positions[gone]
-	if !known || !found {
+	position, intoFound := l.positions[into]
+	from, goneFound := l.positions[gone]
+	if !intoFound || !goneFound {
 		l.RemoveShard(gone)
 		return
 	}
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -81,7 +81,7 @@
 }
 
 func TestMovesKeepTheLimits(t *testing.T) {
-	checkProperty(t, "targets accept shards, shards that are moving stay, and moves keep within MaxMoves and MaxChurn", func(problem Problem) bool {
+	checkProperty(t, "targets accept shards, moving shards stay, and the limits hold", func(problem Problem) bool {
 		problem.Limits.MaxChurn = 0.2
 		accepts, moving := make(map[state.ServerID]bool), make(map[state.ShardID]bool)
 		for _, server := range problem.Servers {
--- a/internal/placement/types.go
+++ b/internal/placement/types.go
@@ -108,7 +108,8 @@
 func DefaultLimits() Limits {
 	return Limits{
 		Horizon: defaultHorizon, Window: defaultWindow, Handover: defaultHandover, MaxMoves: defaultMaxMoves,
-		Cooldown: defaultCooldown, Ramp: defaultRamp, MinBenefitRatio: defaultMinBenefitRatio, MinGain: defaultMinGain, Tolerance: defaultTolerance,
+		Cooldown: defaultCooldown, Ramp: defaultRamp, MinBenefitRatio: defaultMinBenefitRatio,
+		MinGain: defaultMinGain, Tolerance: defaultTolerance,
 		ReserveUtilization: defaultReserveUtilization, ShardsPerServer: defaultShardsPerServer,
 		MergeRest: defaultMergeRest,
 	}
--- a/internal/planner/adopt_test.go
+++ b/internal/planner/adopt_test.go
@@ -71,7 +71,7 @@
 		for position, owned := range ranges {
 			last := position == len(ranges)-1
 			if owned.Range.First != next || owned.Range.Last < owned.Range.First || last != (owned.Range.Last == math.MaxUint64) {
-				return fmt.Sprintf("range %d is %+v, want one that starts at %d, and only the last to end at the maximum", position, owned.Range, next)
+				return fmt.Sprintf("range %d is %+v, want it to start at %d, and only the last to reach the end", position, owned.Range, next)
 			}
 			for _, hash := range []uint64{owned.Range.First, owned.Range.Last} {
 				if want := expectedOwner(imported, hash); owned.Server != want {
