--- a/internal/gateway/placekeeper.go
+++ b/internal/gateway/placekeeper.go
@@ -96,7 +96,7 @@
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	delete(k.askers, asker)
-	k.core.Lose(k.clock.Now(), asker)
+	k.core.Disconnect(k.clock.Now(), asker)
 }
 
 // take takes a message of an asker.
--- a/internal/room/keeper.go
+++ b/internal/room/keeper.go
@@ -110,8 +110,8 @@
 	}
 }
 
-// Lose records that a gateway disconnected. Its requests in flight may run on for lostAskerGrace.
-func (k *Keeper) Lose(now time.Duration, asker Asker) {
+// Disconnect records that a gateway disconnected. Its requests in flight may run on for lostAskerGrace.
+func (k *Keeper) Disconnect(now time.Duration, asker Asker) {
 	for _, q := range k.queues {
 		q.removeAll(asker)
 	}
--- a/internal/room/keeper_test.go
+++ b/internal/room/keeper_test.go
@@ -68,7 +68,7 @@
 		id := PlaceID{Asker: Asker(fmt.Sprint(random.IntN(askers))), Number: Number(random.IntN(40))}
 		switch random.IntN(12) {
 		case 0:
-			keeper.Lose(now, id.Asker)
+			keeper.Disconnect(now, id.Asker)
 		case 1, 2, 3, 4:
 			keeper.End(now, End{ID: id, Outcome: Outcome(random.IntN(6) - 1), Took: time.Duration(random.Int64N(int64(time.Second))) - time.Millisecond})
 			delete(verdicts, id)
@@ -262,7 +262,7 @@
 	}
 	keeper.Ask(0, ask("other", 1, among))
 	keeper.Take()
-	keeper.Lose(10*time.Millisecond, "lost")
+	keeper.Disconnect(10*time.Millisecond, "lost")
 	keeper.Tick(100 * time.Millisecond)
 	if answers := keeper.Take(); lastAnswer(answers, PlaceID{Asker: "other", Number: 1}).Verdict == Granted {
 		t.Error("a place of a disconnected gateway was granted while its request may be running")
