--- a/internal/gateway/placekeeper.go
+++ b/internal/gateway/placekeeper.go
@@ -142,7 +142,7 @@
 // tell hands the answers that are due to their askers. The mutex must be held.
 func (k *placeKeeper) tell() {
 	due := make(map[room.Asker][]message.PlaceAnswer)
-	for _, answer := range k.core.Take() {
+	for _, answer := range k.core.TakeAnswers() {
 		told := message.PlaceAnswer{
 			Number: uint32(answer.ID.Number), Verdict: uint8(answer.Verdict), WaitMs: uint32(answer.Wait.Milliseconds()),
 		}
--- a/internal/room/keeper.go
+++ b/internal/room/keeper.go
@@ -64,8 +64,8 @@
 	return count
 }
 
-// Take returns the answers that became due since the last call, in order.
-func (k *Keeper) Take() []Answer {
+// TakeAnswers returns the answers that became due since the last call, in order.
+func (k *Keeper) TakeAnswers() []Answer {
 	taken := k.answers
 	k.answers = nil
 	return taken
--- a/internal/room/keeper_test.go
+++ b/internal/room/keeper_test.go
@@ -83,7 +83,7 @@
 			request.Servers = among[first:]
 			keeper.Ask(now, request)
 		}
-		for _, answer := range keeper.Take() {
+		for _, answer := range keeper.TakeAnswers() {
 			if verdict := verdicts[answer.ID]; verdict == Granted && answer.Verdict != Unknown {
 				return fmt.Sprintf("answer %+v after the ask was granted", answer)
 			}
@@ -172,7 +172,7 @@
 			ended := work[next]
 			work = append(work[:next], work[next+1:]...)
 			keeper.End(ended.end, End{ID: ended.id, Outcome: Answered, Took: ended.end - ended.granted})
-			for _, answer := range keeper.Take() {
+			for _, answer := range keeper.TakeAnswers() {
 				if answer.Verdict == Granted {
 					starts[answer.ID] = begin(ended.end)
 					work = append(work, running{answer.ID, ended.end, starts[answer.ID] + serviceTime})
@@ -187,7 +187,7 @@
 		request := ask("a", int(id.Number), among)
 		keeper.Ask(now, request)
 		askedIDs, arrivals[id] = append(askedIDs, id), now
-		if answer := lastAnswer(keeper.Take(), id); answer.Verdict == Granted {
+		if answer := lastAnswer(keeper.TakeAnswers(), id); answer.Verdict == Granted {
 			starts[id] = begin(now)
 			work = append(work, running{id, now, starts[id] + serviceTime})
 		}
@@ -239,7 +239,7 @@
 	late := ask("a", 3, among)
 	late.TargetLeft = 150 * time.Millisecond
 	keeper.Ask(0, late)
-	answers := keeper.Take()
+	answers := keeper.TakeAnswers()
 	if answer := lastAnswer(answers, late.ID); answer.Verdict != Rejected || answer.Wait <= 0 {
 		t.Errorf("a request that cannot be in time gets %+v, want Rejected with a wait", answer)
 	}
@@ -247,7 +247,7 @@
 		t.Fatalf("answers %+v, want both queued", answers)
 	}
 	keeper.End(50*time.Millisecond, End{ID: PlaceID{Asker: "busy", Number: 0}, Outcome: Answered, Took: 50 * time.Millisecond})
-	if answers = keeper.Take(); lastAnswer(answers, urgent.ID).Verdict != Granted || lastAnswer(answers, patient.ID).Verdict == Granted {
+	if answers = keeper.TakeAnswers(); lastAnswer(answers, urgent.ID).Verdict != Granted || lastAnswer(answers, patient.ID).Verdict == Granted {
 		t.Errorf("answers %+v after a place became free, want the urgent request granted", answers)
 	}
 }
@@ -261,16 +261,16 @@
 		keeper.Ask(0, ask("lost", number, among))
 	}
 	keeper.Ask(0, ask("other", 1, among))
-	keeper.Take()
+	keeper.TakeAnswers()
 	keeper.Disconnect(10*time.Millisecond, "lost")
 	keeper.Tick(100 * time.Millisecond)
-	if answers := keeper.Take(); lastAnswer(answers, PlaceID{Asker: "other", Number: 1}).Verdict == Granted {
+	if answers := keeper.TakeAnswers(); lastAnswer(answers, PlaceID{Asker: "other", Number: 1}).Verdict == Granted {
 		t.Error("a place of a disconnected gateway was granted while its request may be running")
 	}
 	keeper.Ask(lostAskerGrace, ask("other", 2, among))
-	keeper.Take()
+	keeper.TakeAnswers()
 	keeper.Tick(lostAskerGrace + 20*time.Millisecond)
-	if answers := keeper.Take(); lastAnswer(answers, PlaceID{Asker: "other", Number: 2}).Verdict != Granted {
+	if answers := keeper.TakeAnswers(); lastAnswer(answers, PlaceID{Asker: "other", Number: 2}).Verdict != Granted {
 		t.Errorf("answers %+v after the grace period, want the waiting request granted", answers)
 	}
 }
@@ -287,7 +287,7 @@
 		t.Error("the place did not expire")
 	}
 	keeper.Ask(maxDeadline, ask("a", 1, nil))
-	if answers := keeper.Take(); answers[len(answers)-1].Verdict != Unknown {
+	if answers := keeper.TakeAnswers(); answers[len(answers)-1].Verdict != Unknown {
 		t.Errorf("an ask without servers gets %+v, want Unknown", answers)
 	}
 }
@@ -301,11 +301,11 @@
 		keeper.Ask(0, request)
 		keeper.End(0, End{ID: request.ID, Outcome: Failed})
 	}
-	keeper.Take()
+	keeper.TakeAnswers()
 	for number := range 2 * (slots + extraInFlight) {
 		keeper.Ask(0, ask("b", number, among))
 	}
-	for _, answer := range keeper.Take() {
+	for _, answer := range keeper.TakeAnswers() {
 		if answer.Server == among[0].ID {
 			t.Errorf("answer %+v names an ejected server", answer)
 		}
@@ -321,7 +321,7 @@
 		for number := range 300 {
 			keeper.Ask(0, ask("a", number, among))
 		}
-		for _, answer := range keeper.Take() {
+		for _, answer := range keeper.TakeAnswers() {
 			if answer.Verdict == Granted {
 				granted++
 			}
@@ -388,7 +388,7 @@
 		asked.Queue = queueNames[pool%len(queueNames)]
 		keeper.Ask(0, asked)
 		keeper.End(0, End{ID: asked.ID, Outcome: Answered, Took: time.Millisecond})
-		keeper.Take()
+		keeper.TakeAnswers()
 	}
 }
 
