--- a/internal/backpressure/backpressure_test.go
+++ b/internal/backpressure/backpressure_test.go
@@ -148,7 +148,7 @@
 		t.Errorf("the first request after the rest must wait %s, want none", got)
 	}
 	if got := tracker.Begin(end+time.Millisecond, instance); got != probeTimeout-time.Millisecond {
-		t.Errorf("the second request must wait %s, want the rest of probeTimeout", got)
+		t.Errorf("the second request must wait %s, want the remainder of probeTimeout", got)
 	}
 	wantRest(end+probeTimeout, 0)
 	tracker.Note(end+time.Millisecond, end, instance, Signal{})
--- a/internal/quota/instance_test.go
+++ b/internal/quota/instance_test.go
@@ -81,8 +81,8 @@
 		return "without faults: " + starved
 	}
 	for index, node := range f.gateways {
-		node.cut = index%5 == 1
-		if node.dead = index%7 == 2; node.dead {
+		node.partitioned = index%5 == 1
+		if node.down = index%7 == 2; node.down {
 			node.accounts, node.connected, node.waiting = NewAccounts(f.policy, f.random.Float64), false, nil
 		}
 	}
@@ -102,7 +102,7 @@
 	f.ledger.StartTerm(f.now)
 	f.leaderUp = true
 	for _, node := range f.gateways {
-		node.cut, node.dead = false, false
+		node.partitioned, node.down = false, false
 	}
 	f.run(2 * time.Second)
 	f.resetCounts()
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -57,7 +57,7 @@
 
 // gateway holds the allocations of one gateway, by subject.
 type gateway struct {
-	heardAt     time.Duration
+	reportedAt  time.Duration
 	allocations map[string]*allocation
 }
 
@@ -106,7 +106,7 @@
 		gw = &gateway{allocations: make(map[string]*allocation)}
 		l.gateways[gatewayName] = gw
 	}
-	gw.heardAt = now
+	gw.reportedAt = now
 	l.reserve(now)
 	var grants []Grant
 	for _, ask := range asks {
@@ -281,7 +281,7 @@
 	l.reserveCheckedAt = now
 	reserved := make(map[string]float64)
 	for name, gw := range l.gateways {
-		silence := now - gw.heardAt
+		silence := now - gw.reportedAt
 		if silence <= maxGatewaySilence {
 			continue
 		}
@@ -290,7 +290,7 @@
 				l.discardOutstanding(subject, held)
 				continue
 			}
-			reserved[subject] += fallbackShare * held.used.value(gw.heardAt)
+			reserved[subject] += fallbackShare * held.used.value(gw.reportedAt)
 		}
 		if silence > fallbackTime+maxGatewaySilence {
 			delete(l.gateways, name)
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -48,12 +48,12 @@
 }
 
 type gatewayNode struct {
-	accounts   *Accounts
-	cut, dead  bool
-	lastReport time.Duration
-	connected  bool
-	answers    []leaderAnswer
-	waiting    []waitingRequest
+	accounts          *Accounts
+	partitioned, down bool
+	lastReport        time.Duration
+	connected         bool
+	answers           []leaderAnswer
+	waiting           []waitingRequest
 }
 
 // leaderAnswer is an answer in transit to a gateway.
@@ -109,10 +109,10 @@
 		f.dueRequests[name] += f.perSecond[name] * step.Seconds()
 		for ; f.dueRequests[name] >= 1; f.dueRequests[name]-- {
 			node := f.gateways[f.homes[name][f.random.IntN(len(f.homes[name]))]]
-			if node.dead {
+			if node.down {
 				node = f.gateways[f.random.IntN(len(f.gateways))]
 			}
-			if node.dead {
+			if node.down {
 				continue
 			}
 			f.asked[name]++
@@ -144,10 +144,10 @@
 }
 
 func (f *fleet) stepGateway(name string, node *gatewayNode) {
-	if node.dead {
+	if node.down {
 		return
 	}
-	reachable := f.leaderUp && !node.cut
+	reachable := f.leaderUp && !node.partitioned
 	inTransit := node.answers
 	node.answers = nil
 	for _, answer := range inTransit {
@@ -245,11 +245,11 @@
 	f.resetCounts()
 	f.run(1500 * time.Millisecond)
 	if short := f.underserved(); short != "" {
-		return "beside an overloading tenant: " + short
+		return "while another tenant overloads: " + short
 	}
 	for index, node := range f.gateways {
-		node.cut = index%5 < 2
-		node.dead = index%7 == 1
+		node.partitioned = index%5 < 2
+		node.down = index%7 == 1
 	}
 	f.run(5 * time.Second)
 	f.leaderUp = false
@@ -258,10 +258,10 @@
 	f.leaderUp = true
 	f.run(2 * time.Second)
 	for _, node := range f.gateways {
-		if node.dead {
+		if node.down {
 			node.accounts, node.connected = NewAccounts(f.policy, f.random.Float64), false
 		}
-		node.cut, node.dead = false, false
+		node.partitioned, node.down = false, false
 	}
 	f.run(2 * time.Second)
 	if excess, tenant := f.worstExcess(); excess > 0 {
--- a/internal/quota/types.go
+++ b/internal/quota/types.go
@@ -84,8 +84,8 @@
 	// does not answer. The rest is a margin for differences between the rates that the gateway and
 	// the leader measure.
 	fallbackShare = 0.85
-	// fallbackTime is how long a gateway does so, and how long the leader reserves that rate for a
-	// silent gateway. Partitions usually last a few seconds.
+	// fallbackTime is how long a gateway continues at that rate without the leader, and how long
+	// the leader reserves the rate for a silent gateway. Partitions usually last a few seconds.
 	fallbackTime = 10 * time.Second
 )
 
