--- a/internal/controller/partitions.go
+++ b/internal/controller/partitions.go
@@ -142,7 +142,7 @@
 		report.Lifetime = stream.times.RecordsLifetime
 	}
 	k.replica.view(func(view *state.State) {
-		session, lease := k.placement.Pinged(k.replica.clock.Now(), stream.process, report, view)
+		session, lease := k.placement.HandlePing(k.replica.clock.Now(), stream.process, report, view)
 		pong.Session = session
 		pong.LeaseNs = int64(lease)
 	})
--- a/internal/record/cluster_test.go
+++ b/internal/record/cluster_test.go
@@ -270,7 +270,7 @@
 	report.Unreachable = c.missed(r)
 	report.Revision = c.views[r.view].revision
 	c.later(func() {
-		session, lease := c.placement.Pinged(c.now, r.identity, report, c.state)
+		session, lease := c.placement.HandlePing(c.now, r.identity, report, c.state)
 		c.later(func() {
 			if lease > 0 {
 				r.lease[session] = max(r.lease[session], sent+lease)
--- a/internal/record/placement.go
+++ b/internal/record/placement.go
@@ -150,11 +150,11 @@
 	p.firstUsable = 0
 }
 
-// Pinged takes a ping of a router process, which a quorum round followed, and
+// HandlePing takes a ping of a router process, which a quorum round followed, and
 // returns the router's session and the length of the lease that its pong
 // grants; both are zero when the process has no open session. The routers are
 // those of the state.
-func (p *Placement) Pinged(now time.Duration, process state.Router, report Report, view *state.State) (state.SessionNumber, time.Duration) {
+func (p *Placement) HandlePing(now time.Duration, process state.Router, report Report, view *state.State) (state.SessionNumber, time.Duration) {
 	known := p.contact(process.ID)
 	known.wanted = process
 	known.pinged = now
--- a/internal/record/placement_test.go
+++ b/internal/record/placement_test.go
@@ -48,7 +48,7 @@
 			}
 			report.Revision = o.state.Revision()
 			process := state.Router{ID: id, PeerAddress: "peer", Session: state.Session{Incarnation: o.incarnation}}
-			o.placement.Pinged(o.now, process, report, o.state)
+			o.placement.HandlePing(o.now, process, report, o.state)
 		}
 		o.look()
 	}
--- a/internal/router/records/service_test.go
+++ b/internal/router/records/service_test.go
@@ -144,7 +144,7 @@
 		for _, each := range ping.FailedBackups {
 			report.Failed = append(report.Failed, record.PartitionEpoch(each))
 		}
-		session, lease := b.placement.Pinged(b.clock.Now(), m.self, report, b.state)
+		session, lease := b.placement.HandlePing(b.clock.Now(), m.self, report, b.state)
 		m.service.Renew(message.Pong{SentNs: ping.SentNs, Session: session, LeaseNs: int64(lease)})
 	}
 	moment := record.Moment{Now: b.clock.Now(), UnixMs: time.Now().UnixMilli()}
