--- a/internal/controller/partitions.go
+++ b/internal/controller/partitions.go
@@ -134,7 +134,7 @@
 	k.follow(stream.leadership)
 	report := record.Report{
 		Synced: partitionEpochs(ping.SyncedPartitions), Failed: partitionEpochs(ping.FailedBackups),
-		FailedFormers: partitionEpochs(ping.FailedFormers), Earlier: !ping.KeepsFormers,
+		FailedFormers: partitionEpochs(ping.FailedFormers), IgnoresFormers: !ping.KeepsFormers,
 		Leaving: ping.Leaving, Stopped: ping.Stopped, Unreachable: ping.Unreachable, Revision: ping.Revision,
 		Unfit: stream.unfit(),
 	}
--- a/internal/record/placement.go
+++ b/internal/record/placement.go
@@ -57,8 +57,8 @@
 	Failed []PartitionEpoch
 	// FailedFormers lists partitions whose former copy does not answer this primary.
 	FailedFormers []PartitionEpoch
-	// Earlier is true for a process of a version that does not know of former copies.
-	Earlier bool
+	// IgnoresFormers is true for a process of a version that does not know of former copies.
+	IgnoresFormers bool
 	// Leaving asks to move the router's partitions.
 	Leaving bool
 	// Stopped promises that the process never acts as a primary again.
@@ -213,7 +213,7 @@
 // keepsFormers reports whether all routers that answer know of former copies.
 func (p *Placement) keepsFormers(now time.Duration) bool {
 	for _, known := range p.contacts {
-		if known.report.Earlier && p.answers(now, known) {
+		if known.report.IgnoresFormers && p.answers(now, known) {
 			return false
 		}
 	}
