--- a/internal/controller/partitions.go
+++ b/internal/controller/partitions.go
@@ -136,7 +136,7 @@
 		Synced: partitionEpochs(ping.SyncedPartitions), Failed: partitionEpochs(ping.FailedBackups),
 		FailedFormers: partitionEpochs(ping.FailedFormers), IgnoresFormers: !ping.KeepsFormers,
 		Leaving: ping.Leaving, Stopped: ping.Stopped, Unreachable: ping.Unreachable, Revision: ping.Revision,
-		Unfit: stream.unfit(),
+		Incompatible: stream.unfit(),
 	}
 	if stream.times != nil {
 		report.Lifetime = stream.times.RecordsLifetime
--- a/internal/record/fit.go
+++ b/internal/record/fit.go
@@ -9,7 +9,7 @@
 // maySession reports whether a process wants a session and may have one by its
 // own settings.
 func (c *contact) maySession() bool {
-	return !c.report.Stopped && !c.report.Leaving && !c.report.Unfit
+	return !c.report.Stopped && !c.report.Leaving && !c.report.Incompatible
 }
 
 // lifetimes are those of the records that routers with a session keep. A router
--- a/internal/record/fit_test.go
+++ b/internal/record/fit_test.go
@@ -38,7 +38,7 @@
 	if o.open("a") || !o.open("b") {
 		t.Errorf("after the stop of a: a has a session: %t, b: %t", o.open("a"), o.open("b"))
 	}
-	o.reports["c"] = Report{Unfit: true, Lifetime: testLifetime}
+	o.reports["c"] = Report{Incompatible: true, Lifetime: testLifetime}
 	o.run(time.Second)
 	if o.open("c") {
 		t.Error("a router whose settings do not fit got a session")
--- a/internal/record/placement.go
+++ b/internal/record/placement.go
@@ -67,8 +67,8 @@
 	Unreachable []state.RouterID
 	// Revision is that of the table that the router's partitions follow.
 	Revision state.Revision
-	// Unfit says that the router's settings allow it no session.
-	Unfit bool
+	// Incompatible says that the router's settings allow it no session.
+	Incompatible bool
 	// Lifetime is how long the router keeps records, zero if it does not tell.
 	Lifetime time.Duration
 }
