--- a/internal/record/cutoff_test.go
+++ b/internal/record/cutoff_test.go
@@ -170,7 +170,7 @@
 }
 
 func TestReachTellsSilenceFromPauses(t *testing.T) {
-	reach, now := NewReach(), time.Second
+	reach, now := NewReachability(), time.Second
 	look := func(count int, answering ...state.RouterID) {
 		for range count {
 			now += ProbeInterval
--- a/internal/record/reach.go
+++ b/internal/record/reach.go
@@ -22,24 +22,24 @@
 	MaxProbed = 32
 )
 
-// Reach is what one router knows of whether it reaches others. It is not safe
+// Reachability is what one router knows of whether it reaches others. It is not safe
 // for concurrent use.
-type Reach struct {
+type Reachability struct {
 	// answered holds, for each router that is probed, when the last probe that it
 	// answered was sent, or when it was probed first.
 	answered map[state.RouterID]time.Duration
 	lastLook time.Duration
 }
 
-// NewReach returns a Reach that knows no router.
-func NewReach() *Reach {
-	return &Reach{answered: make(map[state.RouterID]time.Duration)}
+// NewReachability returns a Reach that knows no router.
+func NewReachability() *Reachability {
+	return &Reachability{answered: make(map[state.RouterID]time.Duration)}
 }
 
 // Look begins a round of probes of the given routers, of which it takes the
 // first MaxProbed, and returns those. After a pause of this process the answers
 // that are missing say nothing about others.
-func (r *Reach) Look(now time.Duration, routers []state.RouterID) []state.RouterID {
+func (r *Reachability) Look(now time.Duration, routers []state.RouterID) []state.RouterID {
 	routers = routers[:min(len(routers), MaxProbed)]
 	paused := now-r.lastLook > overdueAfter
 	r.lastLook = now
@@ -55,7 +55,7 @@
 }
 
 // Answered notes that a router answered a probe that was sent at a time.
-func (r *Reach) Answered(router state.RouterID, sent time.Duration) {
+func (r *Reachability) Answered(router state.RouterID, sent time.Duration) {
 	if known, probed := r.answered[router]; probed {
 		r.answered[router] = max(known, sent)
 	}
@@ -63,7 +63,7 @@
 
 // Unreachable returns the routers that left probes unanswered for too long, by
 // identifier.
-func (r *Reach) Unreachable(now time.Duration) []state.RouterID {
+func (r *Reachability) Unreachable(now time.Duration) []state.RouterID {
 	var silent []state.RouterID
 	for router, answered := range r.answered {
 		if now-answered >= unreachableAfter {
@@ -76,7 +76,7 @@
 
 // Alone reports whether the answers of all routers are overdue. Of a single one
 // it cannot be told whose fault it is.
-func (r *Reach) Alone(now time.Duration) bool {
+func (r *Reachability) Alone(now time.Duration) bool {
 	for _, answered := range r.answered {
 		if now-answered < overdueAfter {
 			return false
--- a/internal/router/records/probe.go
+++ b/internal/router/records/probe.go
@@ -21,7 +21,7 @@
 	service *Service
 
 	mutex sync.Mutex
-	reach *record.Reach
+	reach *record.Reachability
 	// asked holds the routers whose answer is awaited.
 	asked map[state.RouterID]bool
 	// told is what the controllers were told last.
@@ -29,7 +29,7 @@
 }
 
 func newProber(service *Service) *prober {
-	return &prober{service: service, reach: record.NewReach(), asked: make(map[state.RouterID]bool)}
+	return &prober{service: service, reach: record.NewReachability(), asked: make(map[state.RouterID]bool)}
 }
 
 // run probes until the context ends.
