--- a/internal/record/cutoff_test.go
+++ b/internal/record/cutoff_test.go
@@ -174,7 +174,7 @@
 	look := func(count int, answering ...state.RouterID) {
 		for range count {
 			now += ProbeInterval
-			reach.Look(now, []state.RouterID{"a", "b"})
+			reach.BeginRound(now, []state.RouterID{"a", "b"})
 			for _, router := range answering {
 				reach.Answered(router, now)
 			}
@@ -203,7 +203,7 @@
 	for number := range 2 * MaxProbed {
 		many = append(many, state.RouterID(fmt.Sprint(number)))
 	}
-	if probed := reach.Look(now, many); len(probed) != MaxProbed || len(reach.answered) != MaxProbed {
+	if probed := reach.BeginRound(now, many); len(probed) != MaxProbed || len(reach.answered) != MaxProbed {
 		t.Errorf("%d routers probed, %d kept", len(probed), len(reach.answered))
 	}
 }
--- a/internal/record/reach.go
+++ b/internal/record/reach.go
@@ -36,10 +36,10 @@
 	return &Reachability{answered: make(map[state.RouterID]time.Duration)}
 }
 
-// Look begins a round of probes of the given routers, of which it takes the
+// BeginRound begins a round of probes of the given routers, of which it takes the
 // first MaxProbed, and returns those. After a pause of this process the answers
 // that are missing say nothing about others.
-func (r *Reachability) Look(now time.Duration, routers []state.RouterID) []state.RouterID {
+func (r *Reachability) BeginRound(now time.Duration, routers []state.RouterID) []state.RouterID {
 	routers = routers[:min(len(routers), MaxProbed)]
 	paused := now-r.lastLook > overdueAfter
 	r.lastLook = now
--- a/internal/router/records/probe.go
+++ b/internal/router/records/probe.go
@@ -50,7 +50,7 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	var due []state.RouterID
-	for _, router := range p.reach.Look(p.service.options.Clock.Now(), wanted) {
+	for _, router := range p.reach.BeginRound(p.service.options.Clock.Now(), wanted) {
 		if !p.asked[router] {
 			p.asked[router] = true
 			due = append(due, router)
