--- a/internal/record/cutoff_test.go
+++ b/internal/record/cutoff_test.go
@@ -176,7 +176,7 @@
 			now += ProbeInterval
 			reach.BeginRound(now, []state.RouterID{"a", "b"})
 			for _, router := range answering {
-				reach.Answered(router, now)
+				reach.MarkAnswered(router, now)
 			}
 		}
 	}
@@ -198,7 +198,7 @@
 	if silent := reach.Unreachable(now); len(silent) > 0 {
 		t.Errorf("reported %v after a pause of its own", silent)
 	}
-	reach.Answered("stranger", now)
+	reach.MarkAnswered("stranger", now)
 	many := make([]state.RouterID, 0, 2*MaxProbed)
 	for number := range 2 * MaxProbed {
 		many = append(many, state.RouterID(fmt.Sprint(number)))
--- a/internal/record/reach.go
+++ b/internal/record/reach.go
@@ -54,8 +54,8 @@
 	return routers
 }
 
-// Answered notes that a router answered a probe that was sent at a time.
-func (r *Reachability) Answered(router state.RouterID, sent time.Duration) {
+// MarkAnswered notes that a router answered a probe that was sent at a time.
+func (r *Reachability) MarkAnswered(router state.RouterID, sent time.Duration) {
 	if known, probed := r.answered[router]; probed {
 		r.answered[router] = max(known, sent)
 	}
--- a/internal/router/records/probe.go
+++ b/internal/router/records/probe.go
@@ -85,7 +85,7 @@
 	defer p.mutex.Unlock()
 	delete(p.asked, id)
 	if answered {
-		p.reach.Answered(id, sent)
+		p.reach.MarkAnswered(id, sent)
 	}
 }
 
