--- a/internal/record/cutoff_test.go
+++ b/internal/record/cutoff_test.go
@@ -186,11 +186,11 @@
 		t.Errorf("reported %v too early", silent)
 	}
 	look(2, "a")
-	if silent := reach.Unreachable(now); !slices.Equal(silent, []state.RouterID{"b"}) || reach.Alone(now) {
-		t.Errorf("reported %v, alone %t", silent, reach.Alone(now))
+	if silent := reach.Unreachable(now); !slices.Equal(silent, []state.RouterID{"b"}) || reach.Isolated(now) {
+		t.Errorf("reported %v, alone %t", silent, reach.Isolated(now))
 	}
 	look(3)
-	if !reach.Alone(now) {
+	if !reach.Isolated(now) {
 		t.Error("a router that no other answers is alone")
 	}
 	now += time.Minute
--- a/internal/record/reach.go
+++ b/internal/record/reach.go
@@ -74,9 +74,9 @@
 	return silent
 }
 
-// Alone reports whether the answers of all routers are overdue. Of a single one
+// Isolated reports whether the answers of all routers are overdue. Of a single one
 // it cannot be told whose fault it is.
-func (r *Reachability) Alone(now time.Duration) bool {
+func (r *Reachability) Isolated(now time.Duration) bool {
 	for _, answered := range r.answered {
 		if now-answered < overdueAfter {
 			return false
--- a/internal/router/records/probe.go
+++ b/internal/router/records/probe.go
@@ -138,5 +138,5 @@
 func (p *prober) alone() bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return p.reach.Alone(p.service.options.Clock.Now())
+	return p.reach.Isolated(p.service.options.Clock.Now())
 }
