--- a/internal/record/cluster_test.go
+++ b/internal/record/cluster_test.go
@@ -215,9 +215,9 @@
 // lead carries out what the placement wants. Each command may be lost.
 func (c *testCluster) lead() {
 	moment := Moment{Now: c.now, UnixMs: startMs + (c.now + c.skew).Milliseconds()}
-	before := len(c.placement.moved)
+	before := len(c.placement.cutOffMoves)
 	commands := c.placement.Tick(moment, c.state)
-	c.moves += len(c.placement.moved) - before
+	c.moves += len(c.placement.cutOffMoves) - before
 	if command, due := c.balance(moment); due {
 		commands = append(commands, command)
 	}
@@ -238,8 +238,8 @@
 		return state.Command{}, false
 	}
 	placed := partitions[0]
-	look := c.placement.look(moment, c.state)
-	if !look.open(placed.Primary, placed.PrimarySession) || !look.open(placed.Backup, placed.BackupSession) {
+	look := c.placement.newRound(moment, c.state)
+	if !look.sessionOpen(placed.Primary, placed.PrimarySession) || !look.sessionOpen(placed.Backup, placed.BackupSession) {
 		return state.Command{}, false
 	}
 	primary, backup := holder{placed.Primary, placed.PrimarySession}, holder{placed.Backup, placed.BackupSession}
--- a/internal/record/cutoff_test.go
+++ b/internal/record/cutoff_test.go
@@ -54,7 +54,7 @@
 				o.reports[reporter] = Report{Unreachable: silent}
 			}
 			before := o.epochs()
-			o.run(cutOffHold - 2*tick)
+			o.run(cutOffDelay - 2*tick)
 			if o.epochs() != before {
 				t.Error("something moved before the verdict")
 			}
@@ -76,7 +76,7 @@
 			for _, id := range example.routers {
 				o.reports[id] = Report{}
 			}
-			o.run(cutOffRest + 2*time.Second)
+			o.run(cutOffCooldown + 2*time.Second)
 			o.check("healed", true, false)
 		})
 	}
@@ -145,7 +145,7 @@
 		primaries[placed.Number] = placed.Primary
 	}
 	blamed := []state.RouterID{"a", "b", "c"}
-	for round := range int(rests * cutOffRest / flap) {
+	for round := range int(rests * cutOffCooldown / flap) {
 		target := blamed[round%len(blamed)]
 		for id := range o.reports {
 			o.reports[id] = Report{}
@@ -203,8 +203,8 @@
 	for number := range 2 * MaxProbed {
 		many = append(many, state.RouterID(fmt.Sprint(number)))
 	}
-	if probed := reach.BeginRound(now, many); len(probed) != MaxProbed || len(reach.answered) != MaxProbed {
-		t.Errorf("%d routers probed, %d kept", len(probed), len(reach.answered))
+	if probed := reach.BeginRound(now, many); len(probed) != MaxProbed || len(reach.lastAnswered) != MaxProbed {
+		t.Errorf("%d routers probed, %d kept", len(probed), len(reach.lastAnswered))
 	}
 }
 
--- a/internal/record/fit.go
+++ b/internal/record/fit.go
@@ -6,9 +6,9 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
-// maySession reports whether a process wants a session and may have one by its
+// eligibleForSession reports whether a process wants a session and may have one by its
 // own settings.
-func (c *contact) maySession() bool {
+func (c *routerStatus) eligibleForSession() bool {
 	return !c.report.Stopped && !c.report.Leaving && !c.report.Incompatible
 }
 
@@ -16,9 +16,9 @@
 // with a longer lifetime admits keys whose records one with a shorter lifetime has
 // dropped, so that they never have sessions at the same time.
 type lifetimes struct {
-	// unheard is true while a router with a session has not told its lifetime to
+	// incomplete is true while a router with a session has not told its lifetime to
 	// this controller yet.
-	unheard bool
+	incomplete bool
 	// shortest and longest are of those that were told; zero while none was.
 	shortest, longest time.Duration
 }
@@ -30,30 +30,30 @@
 		if !router.Session.Open {
 			continue
 		}
-		known := p.contact(router.ID)
-		if known.pinged == 0 {
-			open.unheard = true
+		status := p.status(router.ID)
+		if status.lastPing == 0 {
+			open.incomplete = true
 		}
-		open.note(known.report.Lifetime)
+		open.add(status.report.Lifetime)
 	}
 	return open
 }
 
-func (l *lifetimes) note(told time.Duration) {
-	if told == 0 {
+func (l *lifetimes) add(lifetime time.Duration) {
+	if lifetime == 0 {
 		return
 	}
-	if l.shortest == 0 || told < l.shortest {
-		l.shortest = told
+	if l.shortest == 0 || lifetime < l.shortest {
+		l.shortest = lifetime
 	}
-	l.longest = max(l.longest, told)
+	l.longest = max(l.longest, lifetime)
 }
 
-// admit reports whether a router that tells a lifetime, or none, may have a
+// compatible reports whether a router that tells a lifetime, or none, may have a
 // session beside the others.
-func (l *lifetimes) admit(told time.Duration) bool {
-	if told == 0 {
+func (l *lifetimes) compatible(lifetime time.Duration) bool {
+	if lifetime == 0 {
 		return true
 	}
-	return !l.unheard && (l.longest == 0 || (l.shortest == told && l.longest == told))
+	return !l.incomplete && (l.longest == 0 || (l.shortest == lifetime && l.longest == lifetime))
 }
--- a/internal/record/key.go
+++ b/internal/record/key.go
@@ -39,8 +39,8 @@
 func (k Key) UnixMs() int64 {
 	const timeBytes = 6
 	var milliseconds int64
-	for _, part := range k[:timeBytes] {
-		milliseconds = milliseconds<<8 | int64(part)
+	for _, octet := range k[:timeBytes] {
+		milliseconds = milliseconds<<8 | int64(octet)
 	}
 	return milliseconds
 }
--- a/internal/record/loss_test.go
+++ b/internal/record/loss_test.go
@@ -52,31 +52,31 @@
 // know to count from the end of the lease.
 func TestRefusalCountsFromTheRestartWhereTheEndIsNotKnown(t *testing.T) {
 	const endedMs, nowMs = startMs, startMs + 4000
-	whole := ending{session: 2, known: 7, endedMs: endedMs}
+	whole := leaseEnding{session: 2, revision: 7, endedMs: endedMs}
 	cases := map[string]struct {
-		newest, previous ending
+		newest, previous leaseEnding
 		closed           bool
 		from             int64
 	}{
 		"the end is known":                    {newest: whole, from: endedMs},
-		"another session began since":         {newest: ending{session: 3, known: 9, endedMs: nowMs}, previous: whole, from: endedMs},
-		"the lease of another session":        {newest: ending{session: 1, known: 7, endedMs: endedMs}, from: nowMs},
-		"the lease has not surely ended":      {newest: ending{session: 2, known: 7}, from: nowMs},
-		"the primary did not follow the move": {newest: ending{session: 2, known: 6, endedMs: endedMs}, from: nowMs},
-		"the primary before was closed":       {newest: ending{session: 2, endedMs: endedMs}, closed: true, from: endedMs},
+		"another session began since":         {newest: leaseEnding{session: 3, revision: 9, endedMs: nowMs}, previous: whole, from: endedMs},
+		"the lease of another session":        {newest: leaseEnding{session: 1, revision: 7, endedMs: endedMs}, from: nowMs},
+		"the lease has not surely ended":      {newest: leaseEnding{session: 2, revision: 7}, from: nowMs},
+		"the primary did not follow the move": {newest: leaseEnding{session: 2, revision: 6, endedMs: endedMs}, from: nowMs},
+		"the primary before was closed":       {newest: leaseEnding{session: 2, endedMs: endedMs}, closed: true, from: endedMs},
 	}
 	for name, example := range cases {
 		t.Run(name, func(t *testing.T) {
 			placement := NewPlacement(PlacementSettings{Count: 1, LeaseDuration: testLease})
-			known := placement.contact("a")
-			known.ending, known.previousEnding = example.newest, example.previous
+			status := placement.status("a")
+			status.leaseEnd, status.previousLeaseEnd = example.newest, example.previous
 			placed := state.RecordPartition{Primary: "a", PrimarySession: 2, Revision: 7}
 			if example.closed {
-				placement.begun[0] = begun{primary: "a", session: 2}
+				placement.primaryStarts[0] = primaryStart{primary: "a", session: 2}
 			}
-			placement.noteBegun(placed)
+			placement.notePrimaryStart(placed)
 			placed.Revision++
-			look := &placing{placement: placement, moment: Moment{UnixMs: nowMs}}
+			look := &placementRound{placement: placement, moment: Moment{UnixMs: nowMs}}
 			before := look.lostBefore(placed)
 			if want := example.from + lossSkew.Milliseconds() + 1; before != want {
 				t.Errorf("keys up to %d are refused, not up to %d", before, want)
--- a/internal/record/partition.go
+++ b/internal/record/partition.go
@@ -19,13 +19,13 @@
 	// from a primary.
 	epoch   state.Epoch
 	records map[Key]*Record
-	// ages orders the keys by when they were drawn.
-	ages keyHeap
+	// byAge orders the keys by when they were drawn.
+	byAge keyHeap
 	// answerBytes is the size of all kept answers.
 	answerBytes int
-	// newestMs is the highest wall clock reading, so that a clock that is set
+	// maxWallMs is the highest wall clock reading, so that a clock that is set
 	// back does not make old keys young.
-	newestMs int64
+	maxWallMs int64
 }
 
 // NewPartition returns an empty partition without a role.
@@ -58,7 +58,7 @@
 	changed := placed.Epoch != p.epoch || role != p.role
 	keep := role == RolePrimary && p.role != RoleNone
 	keep = keep || (role == RoleBackup && p.role == RoleBackup && placed.Epoch == p.epoch)
-	keep = keep || (role == RoleBackup && placed.Former == p.self && p.heldSince(placed.FormerEpoch))
+	keep = keep || (role == RoleBackup && placed.Former == p.self && p.completeSince(placed.FormerEpoch))
 	if changed && !keep {
 		p.clear()
 	}
@@ -68,8 +68,10 @@
 	return changed
 }
 
-// heldSince reports whether this router has had a copy of every record since an epoch.
-func (p *Partition) heldSince(epoch state.Epoch) bool { return p.role != RoleNone && p.epoch >= epoch }
+// completeSince reports whether this router has had a copy of every record since an epoch.
+func (p *Partition) completeSince(epoch state.Epoch) bool {
+	return p.role != RoleNone && p.epoch >= epoch
+}
 
 func roleOf(placed state.RecordPartition, self state.RouterID, session state.SessionNumber) Role {
 	switch {
@@ -86,77 +88,77 @@
 
 func (p *Partition) clear() {
 	p.records = make(map[Key]*Record)
-	p.ages = nil
+	p.byAge = nil
 	p.answerBytes = 0
 }
 
-// acts reports whether this router may answer as the primary. The lease ends
+// isActivePrimary reports whether this router may answer as the primary. The lease ends
 // on the router's own monotonic clock.
-func (p *Partition) acts(now Moment, leaseEnd time.Duration) bool {
+func (p *Partition) isActivePrimary(now Moment, leaseEnd time.Duration) bool {
 	return p.role == RolePrimary && p.placed.Epoch == p.epoch && now.Now < leaseEnd
 }
 
 // Confirm reports whether a record that was stored on the backup at an epoch
 // counts: the router must still be the primary at that epoch, under its lease.
 func (p *Partition) Confirm(now Moment, leaseEnd time.Duration, epoch state.Epoch) bool {
-	return p.epoch == epoch && p.acts(now, leaseEnd)
+	return p.epoch == epoch && p.isActivePrimary(now, leaseEnd)
 }
 
 // Claim decides on a claim at the primary. With Granted comes the record, which
 // must be stored on the backup, and confirmed, before the attempt may run; with
 // AnswerKept comes the record that holds the answer. The function open reports
 // whether a router's session may still be open.
-func (p *Partition) Claim(now Moment, leaseEnd time.Duration, claim Claim, open func(state.RouterID, state.SessionNumber) bool) (Verdict, Record) {
-	if !p.acts(now, leaseEnd) {
+func (p *Partition) Claim(now Moment, leaseEnd time.Duration, claim Claim, sessionOpen func(state.RouterID, state.SessionNumber) bool) (Verdict, Record) {
+	if !p.isActivePrimary(now, leaseEnd) {
 		return NotPrimary, Record{}
 	}
 	p.Expire(now)
-	known, found := p.records[claim.Key]
+	existing, found := p.records[claim.Key]
 	if found {
-		verdict := judge(known, claim, open)
+		verdict := checkRecord(existing, claim, sessionOpen)
 		if verdict != Granted {
-			return verdict, *known
+			return verdict, *existing
 		}
 	}
-	if verdict := p.judgeAge(claim.Key); verdict != Granted {
+	if verdict := p.checkAge(claim.Key); verdict != Granted {
 		return verdict, Record{}
 	}
 	if !found && len(p.records) >= p.settings.MaxRecords {
 		return Full, Record{}
 	}
-	if found && known.Status == Running {
-		return Granted, *known
+	if found && existing.Status == Running {
+		return Granted, *existing
 	}
-	return Granted, p.change(claim, Running, nil)
+	return Granted, p.update(claim, Running, nil)
 }
 
-// judge decides by the record that is held for the key.
-func judge(known *Record, claim Claim, open func(state.RouterID, state.SessionNumber) bool) Verdict {
-	own := known.Attempt == claim.Attempt
+// checkRecord decides by the record that is held for the key.
+func checkRecord(existing *Record, claim Claim, sessionOpen func(state.RouterID, state.SessionNumber) bool) Verdict {
+	sameAttempt := existing.Attempt == claim.Attempt
 	switch {
-	case known.Fingerprint != claim.Fingerprint:
+	case existing.Fingerprint != claim.Fingerprint:
 		return ContentDiffers
-	case known.Status == Released && own:
+	case existing.Status == Released && sameAttempt:
 		return AttemptOver
-	case known.Status == Released, known.Status == Running && own:
+	case existing.Status == Released, existing.Status == Running && sameAttempt:
 		return Granted
-	case known.Status == Running && open(known.Router, known.Session):
+	case existing.Status == Running && sessionOpen(existing.Router, existing.Session):
 		return InProgress
-	case known.Status == Completed:
+	case existing.Status == Completed:
 		return AnswerKept
 	default:
 		return OutcomeUnknown
 	}
 }
 
-func (p *Partition) judgeAge(key Key) Verdict {
-	drawn := key.UnixMs()
+func (p *Partition) checkAge(key Key) Verdict {
+	generatedMs := key.UnixMs()
 	switch {
-	case drawn < p.placed.LostBefore:
+	case generatedMs < p.placed.LostBefore:
 		return RecordsLost
-	case drawn > p.newestMs+ClockSkew.Milliseconds():
+	case generatedMs > p.maxWallMs+ClockSkew.Milliseconds():
 		return FromFuture
-	case p.newestMs-drawn > p.settings.maxAgeMs():
+	case p.maxWallMs-generatedMs > p.settings.maxAgeMs():
 		return TooOld
 	default:
 		return Granted
@@ -166,35 +168,35 @@
 // Complete records how an attempt ended. With Stored comes the record for the
 // backup. What another attempt did since is left as it is.
 func (p *Partition) Complete(now Moment, leaseEnd time.Duration, completion Completion) (Verdict, Record) {
-	if !p.acts(now, leaseEnd) {
+	if !p.isActivePrimary(now, leaseEnd) {
 		return NotPrimary, Record{}
 	}
 	p.Expire(now)
 	claim := completion.Claim
-	known, found := p.records[claim.Key]
-	if found && known.Attempt != claim.Attempt {
-		return AttemptOver, *known
+	existing, found := p.records[claim.Key]
+	if found && existing.Attempt != claim.Attempt {
+		return AttemptOver, *existing
 	}
-	if found && known.Status == completion.Status {
-		return Stored, *known
+	if found && existing.Status == completion.Status {
+		return Stored, *existing
 	}
-	if !found && p.newestMs-claim.Key.UnixMs() > p.settings.keptMs() {
+	if !found && p.maxWallMs-claim.Key.UnixMs() > p.settings.retentionMs() {
 		return TooOld, Record{}
 	}
 	if !found && len(p.records) >= p.settings.MaxRecords {
 		return Full, Record{}
 	}
-	return Stored, p.change(claim, completion.Status, completion.Answer)
+	return Stored, p.update(claim, completion.Status, completion.Answer)
 }
 
-// change writes a new version of a record and returns a copy.
-func (p *Partition) change(claim Claim, status Status, answer *Answer) Record {
+// update writes a new version of a record and returns a copy.
+func (p *Partition) update(claim Claim, status Status, answer *Answer) Record {
 	next := Record{
 		Key: claim.Key, Fingerprint: claim.Fingerprint, Version: p.firstVersion(), Status: status,
 		Attempt: claim.Attempt, Router: claim.Router, Session: claim.Session, Answer: answer,
 	}
-	if known, found := p.records[claim.Key]; found {
-		next.Version = max(next.Version, known.Version+1)
+	if existing, found := p.records[claim.Key]; found {
+		next.Version = max(next.Version, existing.Version+1)
 	}
 	if answer != nil && p.answerBytes+answer.size() > p.settings.MaxAnswerBytes {
 		next.Answer = &Answer{Status: answer.Status, Omitted: true}
@@ -211,11 +213,11 @@
 func (p *Partition) firstVersion() uint64 { return uint64(p.epoch)<<versionBits + 1 }
 
 func (p *Partition) put(next Record) {
-	known, found := p.records[next.Key]
+	existing, found := p.records[next.Key]
 	if found {
-		p.answerBytes -= known.Answer.size()
+		p.answerBytes -= existing.Answer.size()
 	} else {
-		heap.Push(&p.ages, next.Key)
+		heap.Push(&p.byAge, next.Key)
 	}
 	p.answerBytes += next.Answer.size()
 	p.records[next.Key] = &next
@@ -223,9 +225,9 @@
 
 // Expire forgets records whose keys every router refuses for their age.
 func (p *Partition) Expire(now Moment) {
-	p.newestMs = max(p.newestMs, now.UnixMs)
-	for len(p.ages) > 0 && p.newestMs-p.ages[0].UnixMs() > p.settings.keptMs() {
-		oldest := heap.Pop(&p.ages).(Key)
+	p.maxWallMs = max(p.maxWallMs, now.UnixMs)
+	for len(p.byAge) > 0 && p.maxWallMs-p.byAge[0].UnixMs() > p.settings.retentionMs() {
+		oldest := heap.Pop(&p.byAge).(Key)
 		p.answerBytes -= p.records[oldest].Answer.size()
 		delete(p.records, oldest)
 	}
@@ -242,15 +244,15 @@
 	if epoch > p.epoch {
 		if formerEpoch == 0 {
 			p.clear()
-		} else if !p.heldSince(formerEpoch) {
+		} else if !p.completeSince(formerEpoch) {
 			return false
 		}
 		p.role = RoleBackup
 		p.epoch = epoch
 	}
 	for _, next := range records {
-		known, found := p.records[next.Key]
-		if found && known.Version >= next.Version {
+		existing, found := p.records[next.Key]
+		if found && existing.Version >= next.Version {
 			continue
 		}
 		p.put(next)
@@ -260,7 +262,7 @@
 
 // Keys returns the keys of all records, for the transfer to a new backup.
 func (p *Partition) Keys() []Key {
-	return append([]Key(nil), p.ages...)
+	return append([]Key(nil), p.byAge...)
 }
 
 // Records returns the present versions of the first keys, without those
@@ -270,9 +272,9 @@
 	var records []Record
 	bytes := 0
 	for len(keys) > 0 && len(records) < maxRecords && bytes < maxBytes {
-		if known, found := p.records[keys[0]]; found {
-			records = append(records, *known)
-			bytes += known.Answer.size()
+		if existing, found := p.records[keys[0]]; found {
+			records = append(records, *existing)
+			bytes += existing.Answer.size()
 		}
 		keys = keys[1:]
 	}
--- a/internal/record/placement.go
+++ b/internal/record/placement.go
@@ -21,26 +21,26 @@
 	Margin time.Duration
 }
 
-// surelyEnded is how long after the last grant a lease has surely ended.
-func (s PlacementSettings) surelyEnded() time.Duration {
+// leaseTimeout is how long after the last grant a lease has surely ended.
+func (s PlacementSettings) leaseTimeout() time.Duration {
 	return time.Duration(float64(s.LeaseDuration)*(1+s.ClockRateBound)) + s.Margin
 }
 
 const (
-	// foundingWait is how long the first router waits for a second one before
+	// initialPlacementWait is how long the first router waits for a second one before
 	// the partitions are placed for the first time.
-	foundingWait = time.Second
-	// failedWait is how long a backup that did not answer is not chosen again by
+	initialPlacementWait = time.Second
+	// failedBackupCooldown is how long a backup that did not answer is not chosen again by
 	// the same primary.
-	failedWait = 3 * time.Second
+	failedBackupCooldown = 3 * time.Second
 	// reconnectWait is added for routers that a new leader has not heard yet.
 	reconnectWait = time.Second
 	// lastCopyWait is added before the session of a router is closed that alone
 	// holds the records of a partition, as far as is known: it may come back.
 	lastCopyWait = 4 * time.Second
-	// pauseShare is the part of a lease's length from which a gap between two
+	// pauseDivisor is the part of a lease's length from which a gap between two
 	// looks counts as a pause of this controller.
-	pauseShare = 2
+	pauseDivisor = 2
 )
 
 // PartitionEpoch names a partition at one epoch.
@@ -77,23 +77,23 @@
 // the places of the record partitions. It is not safe for concurrent use.
 type Placement struct {
 	settings PlacementSettings
-	contacts map[state.RouterID]*contact
+	statuses map[state.RouterID]*routerStatus
 	// leadingSince is when this controller was elected.
 	leadingSince time.Duration
-	// lastLook is when Tick was called last.
-	lastLook time.Duration
-	// firstUsable is when the first router could take partitions.
-	firstUsable time.Duration
-	synced      map[PartitionEpoch]bool
-	failed      map[PartitionEpoch]bool
+	// lastTick is when Tick was called last.
+	lastTick time.Duration
+	// firstUsableAt is when the first router could take partitions.
+	firstUsableAt time.Duration
+	synced        map[PartitionEpoch]bool
+	failed        map[PartitionEpoch]bool
 	// failedFormers are the partitions whose former copy does not answer.
 	failedFormers map[PartitionEpoch]bool
-	// unreachable holds until when a primary does not choose a backup.
-	unreachable map[routerPair]time.Duration
-	// moved holds the moves away from routers that were cut off, by partition.
-	moved map[int]moved
-	// begun holds the beginnings of the partitions' primaries.
-	begun map[int]begun
+	// avoidUntil holds until when a primary does not choose a backup.
+	avoidUntil map[routerPair]time.Duration
+	// cutOffMoves holds the moves away from routers that were cut off, by partition.
+	cutOffMoves map[int]cutOffMove
+	// primaryStarts holds the beginnings of the partitions' primaries.
+	primaryStarts map[int]primaryStart
 }
 
 // routerPair names a primary and a backup process, so that a restarted backup
@@ -104,28 +104,28 @@
 	session state.SessionNumber
 }
 
-// contact is what the leader knows of one router.
-type contact struct {
-	// wanted is the process that pinged last.
-	wanted state.Router
-	pinged time.Duration
-	report Report
+// routerStatus is what the leader knows of one router.
+type routerStatus struct {
+	// process is the process that pinged last.
+	process  state.Router
+	lastPing time.Duration
+	report   Report
 	// session is the last one that renewedAt belongs to.
 	session state.SessionNumber
 	// renewedAt is the newest moment from which a lease may count.
 	renewedAt time.Duration
 	// closing is the session whose end is proposed; it gets no lease again.
 	closing state.SessionNumber
-	// missed holds since when the router reports others as unreachable.
-	missed map[state.RouterID]time.Duration
+	// unreachableSince holds since when the router reports others as unreachable.
+	unreachableSince map[state.RouterID]time.Duration
 	// cutOffSince is since when most others do not meet the router, zero while
 	// they do; cutOffSeen is when they did not last.
 	cutOffSince time.Duration
-	cutOffSeen  time.Duration
-	// ending is the end of the lease of the newest session, previousEnding that of
+	lastCutOff  time.Duration
+	// leaseEnd is the end of the lease of the newest session, previousEnding that of
 	// the one before.
-	ending         ending
-	previousEnding ending
+	leaseEnd         leaseEnding
+	previousLeaseEnd leaseEnding
 }
 
 // NewPlacement returns a Placement that does not lead yet.
@@ -138,16 +138,16 @@
 // Lead begins a term of leadership. Leases that earlier leaders gave count as
 // renewed at this moment.
 func (p *Placement) Lead(now time.Duration) {
-	p.contacts = make(map[state.RouterID]*contact)
+	p.statuses = make(map[state.RouterID]*routerStatus)
 	p.synced = make(map[PartitionEpoch]bool)
 	p.failed = make(map[PartitionEpoch]bool)
 	p.failedFormers = make(map[PartitionEpoch]bool)
-	p.unreachable = make(map[routerPair]time.Duration)
-	p.moved = make(map[int]moved)
-	p.begun = make(map[int]begun)
+	p.avoidUntil = make(map[routerPair]time.Duration)
+	p.cutOffMoves = make(map[int]cutOffMove)
+	p.primaryStarts = make(map[int]primaryStart)
 	p.leadingSince = now
-	p.lastLook = now
-	p.firstUsable = 0
+	p.lastTick = now
+	p.firstUsableAt = 0
 }
 
 // HandlePing takes a ping of a router process, which a quorum round followed, and
@@ -155,38 +155,38 @@
 // grants; both are zero when the process has no open session. The routers are
 // those of the state.
 func (p *Placement) HandlePing(now time.Duration, process state.Router, report Report, view *state.State) (state.SessionNumber, time.Duration) {
-	known := p.contact(process.ID)
-	known.wanted = process
-	known.pinged = now
-	known.report = report
-	known.misses(now, report.Unreachable)
-	p.learn(now, process.ID, report, view)
-	p.learnFormers(process.ID, report, view)
+	status := p.status(process.ID)
+	status.process = process
+	status.lastPing = now
+	status.report = report
+	status.noteUnreachable(now, report.Unreachable)
+	p.noteBackupReports(now, process.ID, report, view)
+	p.noteFormerReports(process.ID, report, view)
 	registered, found := view.Router(process.ID)
 	session := registered.Session
 	if !found || !session.Open || session.Incarnation != process.Session.Incarnation {
 		return 0, 0
 	}
-	if session.Number == known.closing || report.Stopped {
+	if session.Number == status.closing || report.Stopped {
 		return session.Number, 0
 	}
-	known.session = session.Number
-	known.renewedAt = max(known.renewedAt, now)
-	known.follows(session.Number, report.Revision)
+	status.session = session.Number
+	status.renewedAt = max(status.renewedAt, now)
+	status.noteRevision(session.Number, report.Revision)
 	return session.Number, p.settings.LeaseDuration
 }
 
-func (p *Placement) contact(id state.RouterID) *contact {
-	known, found := p.contacts[id]
+func (p *Placement) status(id state.RouterID) *routerStatus {
+	status, found := p.statuses[id]
 	if !found {
-		known = &contact{renewedAt: p.leadingSince}
-		p.contacts[id] = known
+		status = &routerStatus{renewedAt: p.leadingSince}
+		p.statuses[id] = status
 	}
-	return known
+	return status
 }
 
-// learn keeps what a primary says of its backups.
-func (p *Placement) learn(now time.Duration, router state.RouterID, report Report, view *state.State) {
+// noteBackupReports keeps what a primary says of its backups.
+func (p *Placement) noteBackupReports(now time.Duration, router state.RouterID, report Report, view *state.State) {
 	for _, reported := range report.Synced {
 		if placed, found := view.Partition(reported.Number); found && placed.Primary == router && placed.Epoch == reported.Epoch {
 			p.synced[reported] = true
@@ -196,13 +196,13 @@
 		if placed, found := view.Partition(reported.Number); found && placed.Primary == router && placed.Epoch == reported.Epoch {
 			p.failed[reported] = true
 			pair := routerPair{primary: router, backup: placed.Backup, session: placed.BackupSession}
-			p.unreachable[pair] = now + failedWait
+			p.avoidUntil[pair] = now + failedBackupCooldown
 		}
 	}
 }
 
-// learnFormers keeps what a primary says of former copies.
-func (p *Placement) learnFormers(router state.RouterID, report Report, view *state.State) {
+// noteFormerReports keeps what a primary says of former copies.
+func (p *Placement) noteFormerReports(router state.RouterID, report Report, view *state.State) {
 	for _, reported := range report.FailedFormers {
 		if placed, found := view.Partition(reported.Number); found && placed.Primary == router && placed.Epoch == reported.Epoch {
 			p.failedFormers[reported] = true
@@ -210,27 +210,27 @@
 	}
 }
 
-// keepsFormers reports whether all routers that answer know of former copies.
-func (p *Placement) keepsFormers(now time.Duration) bool {
-	for _, known := range p.contacts {
-		if known.report.IgnoresFormers && p.answers(now, known) {
+// formersSupported reports whether all routers that answer know of former copies.
+func (p *Placement) formersSupported(now time.Duration) bool {
+	for _, status := range p.statuses {
+		if status.report.IgnoresFormers && p.pingedRecently(now, status) {
 			return false
 		}
 	}
 	return true
 }
 
-// forgetFailures drops what no longer keeps a backup from being chosen.
-func (p *Placement) forgetFailures(now time.Duration) {
-	maps.DeleteFunc(p.unreachable, func(_ routerPair, until time.Duration) bool { return now >= until })
+// dropExpiredFailures drops what no longer keeps a backup from being chosen.
+func (p *Placement) dropExpiredFailures(now time.Duration) {
+	maps.DeleteFunc(p.avoidUntil, func(_ routerPair, until time.Duration) bool { return now >= until })
 }
 
 // Tick returns the commands that are due, given the wall clock in Unix
 // milliseconds.
 func (p *Placement) Tick(moment Moment, view *state.State) []state.Command {
-	p.forgetFailures(moment.Now)
-	p.noticeSilence(moment.Now)
-	p.weighReports(moment.Now, view)
+	p.dropExpiredFailures(moment.Now)
+	p.renewAfterSilence(moment.Now)
+	p.updateCutOff(moment.Now, view)
 	lastCopies := p.lastCopies(moment.Now, view)
 	var commands []state.Command
 	for _, router := range view.Routers() {
@@ -238,7 +238,7 @@
 			commands = append(commands, command)
 		}
 	}
-	p.noteEndings(moment, view)
+	p.noteLeaseEnds(moment, view)
 	commands = append(commands, p.openSessions(moment.Now, view)...)
 	if changes := p.place(moment, view); len(changes) > 0 {
 		commands = append(commands, state.Command{PutPartitions: &state.PutPartitions{Partitions: changes}})
@@ -252,48 +252,48 @@
 	if !router.Session.Open {
 		return state.Command{}, false
 	}
-	known := p.contact(router.ID)
-	if known.session != router.Session.Number {
-		known.session = router.Session.Number
-		known.renewedAt = max(known.renewedAt, now)
+	status := p.status(router.ID)
+	if status.session != router.Session.Number {
+		status.session = router.Session.Number
+		status.renewedAt = max(status.renewedAt, now)
 	}
-	stopped := known.report.Stopped && known.wanted.Session.Incarnation == router.Session.Incarnation
-	if !stopped && now-known.renewedAt <= p.patience(known, router, lastCopy) {
+	stopped := status.report.Stopped && status.process.Session.Incarnation == router.Session.Incarnation
+	if !stopped && now-status.renewedAt <= p.sessionTimeout(status, router, lastCopy) {
 		return state.Command{}, false
 	}
-	known.closing = router.Session.Number
+	status.closing = router.Session.Number
 	return state.Command{CloseRouter: &state.CloseRouter{Router: router.ID, Session: router.Session.Number}}, true
 }
 
-// patience is how long after its last lease a session stays open. Longer than
+// sessionTimeout is how long after its last lease a session stays open. Longer than
 // until the lease has surely ended is always safe.
-func (p *Placement) patience(known *contact, router state.Router, lastCopy bool) time.Duration {
-	wait := p.settings.surelyEnded()
-	if known.pinged == 0 {
+func (p *Placement) sessionTimeout(status *routerStatus, router state.Router, lastCopy bool) time.Duration {
+	wait := p.settings.leaseTimeout()
+	if status.lastPing == 0 {
 		wait += reconnectWait
 	}
-	replaced := known.pinged > 0 && known.wanted.Session.Incarnation != router.Session.Incarnation
+	replaced := status.lastPing > 0 && status.process.Session.Incarnation != router.Session.Incarnation
 	if lastCopy && !replaced {
 		wait += lastCopyWait
 	}
 	return wait
 }
 
-// noticeSilence keeps sessions open after this controller was paused, and while
+// renewAfterSilence keeps sessions open after this controller was paused, and while
 // no router is heard: then the fault is rather on this side, and no session can
 // be put to better use.
-func (p *Placement) noticeSilence(now time.Duration) {
-	paused := now-p.lastLook > p.settings.LeaseDuration/pauseShare
-	p.lastLook = now
+func (p *Placement) renewAfterSilence(now time.Duration) {
+	paused := now-p.lastTick > p.settings.LeaseDuration/pauseDivisor
+	p.lastTick = now
 	heard := false
-	for _, known := range p.contacts {
-		heard = heard || p.answers(now, known)
+	for _, status := range p.statuses {
+		heard = heard || p.pingedRecently(now, status)
 	}
 	if heard && !paused {
 		return
 	}
-	for _, known := range p.contacts {
-		known.renewedAt = max(known.renewedAt, now)
+	for _, status := range p.statuses {
+		status.renewedAt = max(status.renewedAt, now)
 	}
 }
 
@@ -302,55 +302,55 @@
 func (p *Placement) lastCopies(now time.Duration, view *state.State) map[state.RouterID]bool {
 	last := make(map[state.RouterID]bool)
 	for _, placed := range view.Partitions() {
-		primary := p.holds(now, view, placed.Primary, placed.PrimarySession)
-		backup := placed.BackupSynced && p.holds(now, view, placed.Backup, placed.BackupSession)
-		former := placed.Former != "" && p.holds(now, view, placed.Former, placed.FormerSession)
-		if !backup && !former {
+		primaryLive := p.isLive(now, view, placed.Primary, placed.PrimarySession)
+		backupLive := placed.BackupSynced && p.isLive(now, view, placed.Backup, placed.BackupSession)
+		formerLive := placed.Former != "" && p.isLive(now, view, placed.Former, placed.FormerSession)
+		if !backupLive && !formerLive {
 			last[placed.Primary] = true
 		}
-		if !primary && placed.BackupSynced {
+		if !primaryLive && placed.BackupSynced {
 			last[placed.Backup] = true
 		}
-		if !primary && placed.Former != "" {
+		if !primaryLive && placed.Former != "" {
 			last[placed.Former] = true
 		}
 	}
 	return last
 }
 
-// holds reports whether the process of a session answers.
-func (p *Placement) holds(now time.Duration, view *state.State, id state.RouterID, session state.SessionNumber) bool {
+// isLive reports whether the process of a session answers.
+func (p *Placement) isLive(now time.Duration, view *state.State, id state.RouterID, session state.SessionNumber) bool {
 	registered, found := view.Router(id)
 	if !found || !registered.Session.Open || registered.Session.Number != session {
 		return false
 	}
-	known := p.contact(id)
-	return p.answers(now, known) && known.wanted.Session.Incarnation == registered.Session.Incarnation
+	status := p.status(id)
+	return p.pingedRecently(now, status) && status.process.Session.Incarnation == registered.Session.Incarnation
 }
 
 func (p *Placement) openSessions(now time.Duration, view *state.State) []state.Command {
 	var commands []state.Command
-	open := p.openLifetimes(view.Routers())
+	inUse := p.openLifetimes(view.Routers())
 	var lifetime time.Duration
-	for _, id := range slices.Sorted(maps.Keys(p.contacts)) {
-		known := p.contacts[id]
-		if known.wanted.ID == "" || !known.maySession() || !p.answers(now, known) {
+	for _, id := range slices.Sorted(maps.Keys(p.statuses)) {
+		status := p.statuses[id]
+		if status.process.ID == "" || !status.eligibleForSession() || !p.pingedRecently(now, status) {
 			continue
 		}
 		registered, found := view.Router(id)
 		if found && registered.Session.Open {
 			continue
 		}
-		if !open.admit(known.report.Lifetime) || (len(commands) > 0 && known.report.Lifetime != lifetime) {
+		if !inUse.compatible(status.report.Lifetime) || (len(commands) > 0 && status.report.Lifetime != lifetime) {
 			continue
 		}
-		lifetime = known.report.Lifetime
-		commands = append(commands, state.Command{PutRouter: &state.PutRouter{Router: known.wanted}})
+		lifetime = status.report.Lifetime
+		commands = append(commands, state.Command{PutRouter: &state.PutRouter{Router: status.process}})
 	}
 	return commands
 }
 
-// answers reports whether the router's process pinged lately.
-func (p *Placement) answers(now time.Duration, known *contact) bool {
-	return known.pinged > 0 && now-known.pinged < p.settings.LeaseDuration
+// pingedRecently reports whether the router's process pinged lately.
+func (p *Placement) pingedRecently(now time.Duration, status *routerStatus) bool {
+	return status.lastPing > 0 && now-status.lastPing < p.settings.LeaseDuration
 }
--- a/internal/record/placement_test.go
+++ b/internal/record/placement_test.go
@@ -81,7 +81,7 @@
 	}
 	for id := range o.reports {
 		share := len(o.state.Partitions()) / len(o.reports)
-		if primaries[id] < share || primaries[id] > share+uneven {
+		if primaries[id] < share || primaries[id] > share+imbalanceThreshold {
 			o.t.Errorf("%s: %s is the primary of %d partitions", what, id, primaries[id])
 		}
 	}
--- a/internal/record/reach.go
+++ b/internal/record/reach.go
@@ -25,15 +25,15 @@
 // Reachability is what one router knows of whether it reaches others. It is not safe
 // for concurrent use.
 type Reachability struct {
-	// answered holds, for each router that is probed, when the last probe that it
-	// answered was sent, or when it was probed first.
-	answered map[state.RouterID]time.Duration
-	lastLook time.Duration
+	// lastAnswered holds, for each router that is probed, when the last probe that it
+	// lastAnswered was sent, or when it was probed first.
+	lastAnswered map[state.RouterID]time.Duration
+	lastRound    time.Duration
 }
 
 // NewReachability returns a Reach that knows no router.
 func NewReachability() *Reachability {
-	return &Reachability{answered: make(map[state.RouterID]time.Duration)}
+	return &Reachability{lastAnswered: make(map[state.RouterID]time.Duration)}
 }
 
 // BeginRound begins a round of probes of the given routers, of which it takes the
@@ -41,14 +41,14 @@
 // that are missing say nothing about others.
 func (r *Reachability) BeginRound(now time.Duration, routers []state.RouterID) []state.RouterID {
 	routers = routers[:min(len(routers), MaxProbed)]
-	paused := now-r.lastLook > overdueAfter
-	r.lastLook = now
-	maps.DeleteFunc(r.answered, func(router state.RouterID, _ time.Duration) bool {
+	paused := now-r.lastRound > overdueAfter
+	r.lastRound = now
+	maps.DeleteFunc(r.lastAnswered, func(router state.RouterID, _ time.Duration) bool {
 		return !slices.Contains(routers, router)
 	})
 	for _, router := range routers {
-		if _, known := r.answered[router]; !known || paused {
-			r.answered[router] = now
+		if _, found := r.lastAnswered[router]; !found || paused {
+			r.lastAnswered[router] = now
 		}
 	}
 	return routers
@@ -56,31 +56,31 @@
 
 // MarkAnswered notes that a router answered a probe that was sent at a time.
 func (r *Reachability) MarkAnswered(router state.RouterID, sent time.Duration) {
-	if known, probed := r.answered[router]; probed {
-		r.answered[router] = max(known, sent)
+	if previous, probed := r.lastAnswered[router]; probed {
+		r.lastAnswered[router] = max(previous, sent)
 	}
 }
 
 // Unreachable returns the routers that left probes unanswered for too long, by
 // identifier.
 func (r *Reachability) Unreachable(now time.Duration) []state.RouterID {
-	var silent []state.RouterID
-	for router, answered := range r.answered {
+	var unreachable []state.RouterID
+	for router, answered := range r.lastAnswered {
 		if now-answered >= unreachableAfter {
-			silent = append(silent, router)
+			unreachable = append(unreachable, router)
 		}
 	}
-	slices.Sort(silent)
-	return silent
+	slices.Sort(unreachable)
+	return unreachable
 }
 
 // Isolated reports whether the answers of all routers are overdue. Of a single one
 // it cannot be told whose fault it is.
 func (r *Reachability) Isolated(now time.Duration) bool {
-	for _, answered := range r.answered {
+	for _, answered := range r.lastAnswered {
 		if now-answered < overdueAfter {
 			return false
 		}
 	}
-	return len(r.answered) >= minReporters
+	return len(r.lastAnswered) >= minReporters
 }
--- a/internal/record/types.go
+++ b/internal/record/types.go
@@ -166,7 +166,7 @@
 	return max(s.Lifetime-ClockSkew, s.Lifetime/half).Milliseconds()
 }
 
-func (s Settings) keptMs() int64 {
+func (s Settings) retentionMs() int64 {
 	return (s.Lifetime + ClockSkew).Milliseconds()
 }
 
