--- a/internal/record/cluster_attempts_test.go
+++ b/internal/record/cluster_attempts_test.go
@@ -34,7 +34,7 @@
 	if primary == nil {
 		return
 	}
-	c.later(func() {
+	c.deliverLater(func() {
 		placed := primary.core.Placed()
 		if primary.dead || primary.failed == primary.core.Epoch() {
 			return
@@ -48,17 +48,17 @@
 		case RecordsLost:
 			c.lost++
 			if position := slices.Index(c.keys, attempt.claim.Key); position >= 0 {
-				c.keys[position] = c.drawKey()
+				c.keys[position] = c.newKey()
 			}
 		}
 	})
 }
 
-// replicate mirrors the router's order: the former copy, the backup, then the check.
+// replicate stores a record in the order that the router uses: former copy, backup, then the check.
 func (c *testCluster) replicate(primary *testRouter, placed state.RecordPartition, stored Record, done func()) {
 	confirm := func() {
 		if !primary.dead && primary.core.Confirm(c.moment(primary), primary.lease[placed.PrimarySession], placed.Epoch) {
-			c.later(done)
+			c.deliverLater(done)
 		}
 	}
 	if c.random.IntN(150) == 0 && primary.core.Epoch() == placed.Epoch && placed.Backup != "" {
@@ -68,22 +68,22 @@
 		primary.failedFormer = placed.Epoch
 		return
 	}
-	next := func() { c.later(confirm) }
+	next := func() { c.deliverLater(confirm) }
 	if placed.Backup != "" && placed.Backup != placed.Former {
-		next = c.storing(primary, placed, placed.Backup, placed.BackupSession, 0, stored, next)
+		next = c.storeStep(primary, placed, placed.Backup, placed.BackupSession, 0, stored, next)
 	}
 	if placed.Former != "" {
 		c.formers++
-		next = c.storing(primary, placed, placed.Former, placed.FormerSession, placed.FormerEpoch, stored, next)
+		next = c.storeStep(primary, placed, placed.Former, placed.FormerSession, placed.FormerEpoch, stored, next)
 	}
 	next()
 }
 
-// storing returns a step that stores a record on one copy and goes on if that has it.
-func (c *testCluster) storing(primary *testRouter, placed state.RecordPartition, id state.RouterID, session state.SessionNumber, formerEpoch state.Epoch, stored Record, next func()) func() {
+// storeStep returns a step that stores a record on one copy and then calls next if that succeeded.
+func (c *testCluster) storeStep(primary *testRouter, placed state.RecordPartition, id state.RouterID, session state.SessionNumber, formerEpoch state.Epoch, stored Record, next func()) func() {
 	return func() {
 		receiver := c.byIncarnation(id, session, c.views[primary.view])
-		c.later(func() {
+		c.deliverLater(func() {
 			if receiver != nil && !receiver.dead && receiver.core.Store(placed.Epoch, formerEpoch, []Record{stored}) {
 				next()
 			}
@@ -98,13 +98,13 @@
 	c.grants++
 	for _, other := range c.attempts {
 		if other != attempt && other.ran && other.claim.Key == attempt.claim.Key {
-			c.failure = fmt.Sprintf("attempt %s runs although attempt %s did", attempt.claim.Attempt, other.claim.Attempt)
+			c.failure = fmt.Sprintf("attempt %s runs although attempt %s ran before", attempt.claim.Attempt, other.claim.Attempt)
 		}
 	}
 	attempt.ran = true
 }
 
-// endOrResend ends an attempt, gives one up, or claims again.
+// endOrResend completes an attempt, releases it, or resends its claim.
 func (c *testCluster) endOrResend() {
 	if len(c.attempts) == 0 {
 		return
@@ -138,7 +138,7 @@
 	if attempt.end == Completed {
 		completion.Answer = &Answer{Status: 200, Body: []byte(attempt.claim.Attempt)}
 	}
-	c.later(func() {
+	c.deliverLater(func() {
 		placed := primary.core.Placed()
 		if primary.dead {
 			return
--- a/internal/record/cluster_test.go
+++ b/internal/record/cluster_test.go
@@ -39,13 +39,13 @@
 	lease    map[state.SessionNumber]time.Duration
 	synced   state.Epoch
 	failed   state.Epoch
-	// failedFormer is the epoch at which the former copy did not answer.
+	// failedFormer is the epoch at which the former copy failed to answer.
 	failedFormer state.Epoch
-	// rate and skew are those of the machine's clocks.
+	// rate and skew describe the machine's clocks.
 	rate float64
 	skew time.Duration
 	dead bool
-	// cutOff is until when the controllers and the router do not meet.
+	// cutOff is until when the router is disconnected from the controllers.
 	cutOff time.Duration
 }
 
@@ -54,13 +54,13 @@
 	claim  Claim
 	entry  *testRouter
 	active bool
-	// ran is true once the attempt was dispatched and not proved not to run.
+	// ran is true once the attempt was dispatched, unless it is proven not to have run.
 	ran bool
 	end Status
 }
 
-// testCluster runs partitions and a placement under random delays, losses,
-// restarts and clock differences. Every delayed step waits in events.
+// testCluster runs partitions and a placement under random delays, losses, restarts and
+// clock differences. Each delayed step waits in events.
 type testCluster struct {
 	random    *rand.Rand
 	now       time.Duration
@@ -78,14 +78,14 @@
 	kept      int
 	lost      int
 	moves     int
-	// formers counts the changes that were stored on a former copy.
+	// formers counts the record changes stored on a former copy.
 	formers int
 	serial  int
-	// skew is that of the controllers' wall clock.
+	// skew is the offset of the controllers' wall clock.
 	skew time.Duration
 }
 
-// slowEvent is a step that a pause or a slow network holds up for long.
+// slowEvent is a step that a pause or a slow network delays for a long time.
 type slowEvent struct {
 	due  time.Duration
 	step func()
@@ -101,7 +101,7 @@
 		c.routers = append(c.routers, c.newRouter(state.RouterID(fmt.Sprintf("router-%d", number))))
 	}
 	for range testKeys {
-		c.keys = append(c.keys, c.drawKey())
+		c.keys = append(c.keys, c.newKey())
 	}
 	return c
 }
@@ -117,10 +117,10 @@
 	}
 }
 
-func (c *testCluster) drawKey() Key {
+func (c *testCluster) newKey() Key {
 	var key Key
-	drawn := startMs + (c.now + time.Duration(c.random.Int64N(int64(ClockSkew))) - ClockSkew/2).Milliseconds()
-	binary.BigEndian.PutUint64(key[:8], uint64(drawn)<<16)
+	generatedMs := startMs + (c.now + time.Duration(c.random.Int64N(int64(ClockSkew))) - ClockSkew/2).Milliseconds()
+	binary.BigEndian.PutUint64(key[:8], uint64(generatedMs)<<16)
 	binary.BigEndian.PutUint64(key[8:], c.random.Uint64())
 	return key
 }
@@ -137,8 +137,8 @@
 	return Moment{Now: time.Duration(float64(c.now) * r.rate), UnixMs: startMs + (c.now + r.skew).Milliseconds()}
 }
 
-// later puts a step off, or loses it.
-func (c *testCluster) later(step func()) {
+// deliverLater delays a step, or drops it.
+func (c *testCluster) deliverLater(step func()) {
 	switch draw := c.random.IntN(60); {
 	case draw < 2:
 	case draw < 3:
@@ -152,11 +152,11 @@
 	return time.Duration(c.random.Int64N(int64(25 * time.Second)))
 }
 
-func (c *testCluster) pick() *testRouter { return c.routers[c.random.IntN(len(c.routers))] }
+func (c *testCluster) randomRouter() *testRouter { return c.routers[c.random.IntN(len(c.routers))] }
 
 func (c *testCluster) step() {
 	c.now += time.Duration(c.random.Int64N(int64(30 * time.Millisecond)))
-	c.wakeSlow()
+	c.queueDueSlowEvents()
 	for range 2 {
 		if len(c.events) > 0 && c.random.IntN(4) > 0 {
 			c.runEvent()
@@ -164,13 +164,13 @@
 	}
 	switch draw := c.random.IntN(1000); {
 	case draw < 200:
-		c.lead()
+		c.leaderTick()
 	case draw < 500:
-		c.ping(c.pick())
+		c.sendPing(c.randomRouter())
 	case draw < 700:
-		c.follow(c.pick())
+		c.advanceView(c.randomRouter())
 	case draw < 800:
-		c.begin(c.pick())
+		c.begin(c.randomRouter())
 	case draw < 900:
 		c.endOrResend()
 	case draw < 989:
@@ -178,19 +178,19 @@
 			c.sync(router)
 		}
 	case draw < 993:
-		c.keys[c.random.IntN(testKeys)] = c.drawKey()
+		c.keys[c.random.IntN(testKeys)] = c.newKey()
 	case draw < 995:
 		c.kill()
 	case draw < 996:
 		c.placement.Lead(c.now)
 	case draw < 997:
-		c.pick().cutOff = c.now + c.longTime()
+		c.randomRouter().cutOff = c.now + c.longTime()
 	case draw < 998:
 		c.now += time.Duration(c.random.Int64N(int64(4 * time.Second)))
 	}
 }
 
-func (c *testCluster) wakeSlow() {
+func (c *testCluster) queueDueSlowEvents() {
 	waiting := c.slow[:0]
 	for _, event := range c.slow {
 		if event.due > c.now {
@@ -206,14 +206,14 @@
 	position := c.random.IntN(min(len(c.events), 6))
 	event := c.events[position]
 	if c.random.IntN(15) > 0 {
-		// Else it stays and happens again: a message that was delivered twice.
+		// Otherwise the step stays queued and runs again, like a message delivered twice.
 		c.events = slices.Delete(c.events, position, position+1)
 	}
 	event()
 }
 
-// lead carries out what the placement wants. Each command may be lost.
-func (c *testCluster) lead() {
+// leaderTick applies the commands of the placement. Each command may be lost.
+func (c *testCluster) leaderTick() {
 	moment := Moment{Now: c.now, UnixMs: startMs + (c.now + c.skew).Milliseconds()}
 	before := len(c.placement.cutOffMoves)
 	commands := c.placement.Tick(moment, c.state)
@@ -231,7 +231,7 @@
 	}
 }
 
-// balance moves a role now and then, as where routers have several partitions.
+// balance occasionally moves a role, as happens where routers have several partitions.
 func (c *testCluster) balance(moment Moment) (state.Command, bool) {
 	partitions := c.state.Partitions()
 	if len(partitions) == 0 || !partitions[0].BackupSynced || c.random.IntN(20) > 0 {
@@ -251,27 +251,27 @@
 	return state.Command{PutPartitions: &state.PutPartitions{Partitions: []state.RecordPartition{next}}}, true
 }
 
-func (c *testCluster) ping(r *testRouter) {
+func (c *testCluster) sendPing(r *testRouter) {
 	if c.now < r.cutOff {
 		return
 	}
 	sent := c.moment(r).Now
 	report := Report{Leaving: c.random.IntN(200) == 0}
-	at := PartitionEpoch{Number: 0, Epoch: r.core.Epoch()}
-	if r.core.Role() == RolePrimary && r.synced == at.Epoch {
-		report.Synced = append(report.Synced, at)
+	key := PartitionEpoch{Number: 0, Epoch: r.core.Epoch()}
+	if r.core.Role() == RolePrimary && r.synced == key.Epoch {
+		report.Synced = append(report.Synced, key)
 	}
-	if r.core.Role() == RolePrimary && r.failed == at.Epoch {
-		report.Failed = append(report.Failed, at)
+	if r.core.Role() == RolePrimary && r.failed == key.Epoch {
+		report.Failed = append(report.Failed, key)
 	}
-	if r.core.Role() == RolePrimary && r.failedFormer == at.Epoch {
-		report.FailedFormers = append(report.FailedFormers, at)
+	if r.core.Role() == RolePrimary && r.failedFormer == key.Epoch {
+		report.FailedFormers = append(report.FailedFormers, key)
 	}
-	report.Unreachable = c.missed(r)
+	report.Unreachable = c.reportedUnreachable(r)
 	report.Revision = c.views[r.view].revision
-	c.later(func() {
+	c.deliverLater(func() {
 		session, lease := c.placement.HandlePing(c.now, r.identity, report, c.state)
-		c.later(func() {
+		c.deliverLater(func() {
 			if lease > 0 {
 				r.lease[session] = max(r.lease[session], sent+lease)
 			}
@@ -279,23 +279,23 @@
 	})
 }
 
-// missed returns what a router says of others, true or not: one is blamed by most
-// of the others for a while, and any router may add one.
-func (c *testCluster) missed(r *testRouter) []state.RouterID {
-	var silent []state.RouterID
+// reportedUnreachable returns the routers that a router reports as unreachable, correctly or not:
+// most others report the same router for a while, and any router may report a random one.
+func (c *testCluster) reportedUnreachable(r *testRouter) []state.RouterID {
+	var unreachable []state.RouterID
 	const blameTime = 6 * time.Second
 	blamed := c.routers[int(c.now/blameTime)%len(c.routers)].identity.ID
 	if int(c.now/blameTime)%3 > 0 && blamed != r.identity.ID {
-		silent = append(silent, blamed)
+		unreachable = append(unreachable, blamed)
 	}
 	if c.random.IntN(20) == 0 {
-		silent = append(silent, c.pick().identity.ID)
+		unreachable = append(unreachable, c.randomRouter().identity.ID)
 	}
-	return silent
+	return unreachable
 }
 
-// follow lets a router see a later version of the table, not always the newest.
-func (c *testCluster) follow(r *testRouter) {
+// advanceView lets a router see a later version of the table, not always the newest one.
+func (c *testCluster) advanceView(r *testRouter) {
 	if c.now < r.cutOff {
 		return
 	}
@@ -331,7 +331,7 @@
 	return nil
 }
 
-// sync transfers every record to the backup and reports only when all arrived.
+// sync transfers every record to the backup and reports it as synced only if all of them arrived.
 func (c *testCluster) sync(primary *testRouter) {
 	placed := primary.core.Placed()
 	if primary.core.Role() != RolePrimary || placed.Backup == "" || primary.core.Epoch() != placed.Epoch {
@@ -343,7 +343,7 @@
 	}
 	keys := primary.core.Keys()
 	backup := c.byIncarnation(placed.Backup, placed.BackupSession, c.views[primary.view])
-	c.later(func() {
+	c.deliverLater(func() {
 		for first := true; first || len(keys) > 0; first = false {
 			var part []Record
 			part, keys = primary.core.Records(keys, 2, 1<<20)
@@ -351,7 +351,7 @@
 				return
 			}
 		}
-		c.later(func() {
+		c.deliverLater(func() {
 			if primary.core.Epoch() == placed.Epoch && primary.failed != placed.Epoch {
 				primary.synced = placed.Epoch
 			}
@@ -391,8 +391,8 @@
 		return cluster.failure
 	}, gen.UInt64()))
 	properties.TestingRun(t)
-	t.Logf("granted %d, kept answers %d, refused after a loss %d, first moves from a cut-off router %d, stored on former copies %d", grants, kept, lost, moves, formers)
+	t.Logf("granted %d, kept answers %d, rejected after a loss %d, first moves from a cut-off router %d, stored on former copies %d", grants, kept, lost, moves, formers)
 	if grants < 1000 || kept < 100 || lost < 10 || moves < 100 || formers < 1000 {
-		t.Errorf("too little happened: granted %d, kept answers %d, refused after a loss %d, stored on former copies %d", grants, kept, lost, formers)
+		t.Errorf("the run covered too little: granted %d, kept answers %d, rejected after a loss %d, stored on former copies %d", grants, kept, lost, formers)
 	}
 }
--- a/internal/record/cutoff.go
+++ b/internal/record/cutoff.go
@@ -8,41 +8,42 @@
 )
 
 const (
-	// minReporters is how many routers must not meet a router for it to count as
-	// cut off: the word of one says as much about its own links.
+	// minReporters is the minimum number of routers disconnected from a router for it
+	// to count as cut off: a report from a single router may as well mean that the
+	// reporter's own links are down.
 	minReporters = 2
-	// cutOffDelay is how long a majority must not meet a router before its
+	// cutOffDelay is how long a majority must be disconnected from a router before its
 	// partitions move.
 	cutOffDelay = 200 * time.Millisecond
-	// cutOffDecisionWait is how long a primary that reports several routers keeps a whole
-	// backup that it reports, for the others to be heard.
+	// cutOffDecisionWait is how long a primary that reports several routers keeps a
+	// synced backup that is among them, so that reports of the others can arrive.
 	cutOffDecisionWait = 500 * time.Millisecond
-	// cutOffCooldown is how long a router that was cut off gets no new role, and how
+	// cutOffCooldown is how long a router that was cut off gets no new roles, and how
 	// long a partition that moved for this reason does not move for it again.
 	cutOffCooldown = 10 * time.Second
 )
 
-// cutOffMove is the last move of a partition away from a router that was cut off.
+// cutOffMove is the last move of a partition away from a cut-off router.
 type cutOffMove struct {
-	// fromEpoch is the epoch that the move ended.
+	// fromEpoch is the last epoch before the move.
 	fromEpoch state.Epoch
 	at        time.Duration
 }
 
-// noteUnreachable notes since when a router reports each of the routers that it does not
-// reach.
-func (c *routerStatus) noteUnreachable(now time.Duration, unreachable []state.RouterID) {
+// noteUnreachable records which routers this router reports as unreachable, and keeps
+// the start times of those that it reported before.
+func (s *routerStatus) noteUnreachable(now time.Duration, unreachable []state.RouterID) {
 	noted := make(map[state.RouterID]time.Duration, len(unreachable))
 	for _, peer := range unreachable[:min(len(unreachable), MaxProbed)] {
 		noted[peer] = now
-		if since, known := c.unreachableSince[peer]; known {
+		if since, known := s.unreachableSince[peer]; known {
 			noted[peer] = since
 		}
 	}
-	c.unreachableSince = noted
+	s.unreachableSince = noted
 }
 
-// anyUnreachable reports whether a router that answers does not reach another one.
+// anyUnreachable reports whether any router that pings reports another one as unreachable.
 func (p *Placement) anyUnreachable(now time.Duration) bool {
 	for _, status := range p.statuses {
 		if len(status.unreachableSince) > 0 && p.pingedRecently(now, status) {
@@ -52,10 +53,11 @@
 	return false
 }
 
-// updateCutOff decides which routers are cut off from the others. Two routers do
-// not meet when either reports the other, and the controllers heard the other
-// since: one that ended is not cut off, nor are those that miss it. A router is cut off when it does not
-// meet more than half of the other live routers, and at least minReporters.
+// updateCutOff decides which routers are cut off from the others. Two routers are
+// disconnected if either reports the other as unreachable and the controllers have
+// heard from the reported one since: a router that ended is not cut off, nor are
+// those that report it. A router is cut off if it is disconnected from more than half
+// of the other live routers, and from at least minReporters.
 func (p *Placement) updateCutOff(now time.Duration, view *state.State) {
 	voters := p.voters(now, view)
 	disconnected := p.disconnectedPeers(voters)
@@ -73,7 +75,7 @@
 	}
 }
 
-// voters returns the live routers that accept connections of others.
+// voters returns the live routers that accept connections from other routers.
 func (p *Placement) voters(now time.Duration, view *state.State) []state.RouterID {
 	var voters []state.RouterID
 	for _, router := range view.Routers() {
@@ -87,7 +89,7 @@
 	return voters
 }
 
-// disconnectedPeers returns, for each router, those of the others that it does not meet.
+// disconnectedPeers returns, for each router, the other routers from which it is disconnected.
 func (p *Placement) disconnectedPeers(voters []state.RouterID) map[state.RouterID]map[state.RouterID]bool {
 	disconnected := make(map[state.RouterID]map[state.RouterID]bool)
 	note := func(one, other state.RouterID) {
@@ -108,7 +110,7 @@
 	return disconnected
 }
 
-// CutOff returns the routers that are cut off from the others, by identifier.
+// CutOff returns the routers that are cut off from the others, sorted by identifier.
 func (p *Placement) CutOff(now time.Duration, view *state.State) []state.RouterID {
 	var routers []state.RouterID
 	for _, router := range view.Routers() {
@@ -124,20 +126,20 @@
 	return since > 0 && now-since >= cutOffDelay
 }
 
-// inCooldown reports whether a router gets no new roles, since it is or was cut off.
+// inCooldown reports whether a router gets no new roles because it is or recently was cut off.
 func (p *Placement) inCooldown(now time.Duration, id state.RouterID) bool {
 	last := p.status(id).lastCutOff
 	return last > 0 && now-last < cutOffCooldown
 }
 
-// awaitsCutOffDecision reports whether the primary may be cut off, in which case its
-// whole backup is not given up for another one yet.
+// awaitsCutOffDecision reports whether the primary may turn out to be cut off, in which
+// case its synced backup is not replaced yet.
 func (r *placementRound) awaitsCutOffDecision(placed state.RecordPartition) bool {
 	return placed.BackupSynced && !r.placement.isCutOff(r.moment.Now, placed.Primary) && r.mayBeCutOff(placed.Primary, placed.Backup)
 }
 
-// mayBeCutOff reports whether a primary that does not reach another router may be the one that is cut
-// off, as far as the others were heard.
+// mayBeCutOff reports whether a primary that cannot reach another router may itself be the one that is
+// cut off, judging by the reports so far.
 func (r *placementRound) mayBeCutOff(primary, other state.RouterID) bool {
 	status := r.placement.status(primary)
 	since, unreachable := status.unreachableSince[other]
@@ -145,9 +147,9 @@
 	return status.cutOffSince > 0 || recent
 }
 
-// shouldReplaceCutOffPrimary reports whether the holder of a partition's whole copy is to take over
-// from a primary that is cut off. It must have been heard since, and must meet the
-// others itself.
+// shouldReplaceCutOffPrimary reports whether the successor, which holds a complete copy of the partition,
+// should take over from a primary that is cut off. The successor must have pinged since the primary was cut
+// off, and must not be disconnected from a majority itself.
 func (r *placementRound) shouldReplaceCutOffPrimary(placed state.RecordPartition, successor state.RouterID) bool {
 	now := r.moment.Now
 	if !r.placement.isCutOff(now, placed.Primary) {
@@ -161,8 +163,8 @@
 	return !found || last.fromEpoch == placed.Epoch || now-last.at >= cutOffCooldown
 }
 
-// shouldReplaceCutOffBackup reports whether a partition gets another backup, since the
-// present one is cut off and a router that is not could take its place.
+// shouldReplaceCutOffBackup reports whether a partition gets another backup because the
+// current one is cut off and a router that is not cut off can take its place.
 func (r *placementRound) shouldReplaceCutOffBackup(placed state.RecordPartition) bool {
 	if !r.placement.isCutOff(r.moment.Now, placed.Backup) || r.placement.status(placed.Primary).cutOffSince > 0 {
 		return false
@@ -174,7 +176,7 @@
 	return r.placement.status(best.ID).lastPing > r.placement.status(placed.Backup).cutOffSince
 }
 
-// replaceCutOffPrimary is promote with a note that bounds further moves.
+// replaceCutOffPrimary promotes the successor and records the move, which limits further moves.
 func (r *placementRound) replaceCutOffPrimary(placed state.RecordPartition, successor holder) state.RecordPartition {
 	r.placement.cutOffMoves[placed.Number] = cutOffMove{fromEpoch: placed.Epoch, at: r.moment.Now}
 	return r.promote(placed, successor)
--- a/internal/record/cutoff_test.go
+++ b/internal/record/cutoff_test.go
@@ -10,17 +10,17 @@
 )
 
 // epochs returns the sum of the partitions' epochs, which rises with each change.
-func (o *office) epochs() int {
+func (h *placementHarness) epochs() int {
 	sum := 0
-	for _, placed := range o.state.Partitions() {
+	for _, placed := range h.state.Partitions() {
 		sum += int(placed.Epoch)
 	}
 	return sum
 }
 
-func (o *office) primaries(id state.RouterID) int {
+func (h *placementHarness) primaries(id state.RouterID) int {
 	count := 0
-	for _, placed := range o.state.Partitions() {
+	for _, placed := range h.state.Partitions() {
 		if placed.Primary == id {
 			count++
 		}
@@ -33,7 +33,7 @@
 		name    string
 		routers []state.RouterID
 		reports map[state.RouterID][]state.RouterID
-		// emptied have no primaries afterwards, all others have some.
+		// emptied routers have no primaries afterwards; all others have some.
 		emptied []state.RouterID
 	}{
 		{"nobody", []state.RouterID{"a", "b", "c"}, nil, nil},
@@ -49,112 +49,112 @@
 	}
 	for _, example := range cases {
 		t.Run(example.name, func(t *testing.T) {
-			o := newOffice(t, example.routers...)
-			for reporter, silent := range example.reports {
-				o.reports[reporter] = Report{Unreachable: silent}
+			h := newPlacementHarness(t, example.routers...)
+			for reporter, unreachable := range example.reports {
+				h.reports[reporter] = Report{Unreachable: unreachable}
 			}
-			before := o.epochs()
-			o.run(cutOffDelay - 2*tick)
-			if o.epochs() != before {
-				t.Error("something moved before the verdict")
+			before := h.epochs()
+			h.run(cutOffDelay - 2*tick)
+			if h.epochs() != before {
+				t.Error("a partition moved before cutOffDelay")
 			}
-			o.run(time.Second)
+			h.run(time.Second)
 			for _, id := range example.routers {
-				if empty := o.primaries(id) == 0; empty != slices.Contains(example.emptied, id) {
-					t.Errorf("%s is the primary of %d partitions", id, o.primaries(id))
+				if empty := h.primaries(id) == 0; empty != slices.Contains(example.emptied, id) {
+					t.Errorf("%s is the primary of %d partitions", id, h.primaries(id))
 				}
 			}
-			if len(example.emptied) == 0 && o.epochs() != before {
-				t.Error("something moved")
+			if len(example.emptied) == 0 && h.epochs() != before {
+				t.Error("a partition moved")
 			}
-			for _, placed := range o.state.Partitions() {
+			for _, placed := range h.state.Partitions() {
 				if placed.LostBefore != 0 || (len(example.routers) > 2 && !placed.BackupSynced) {
 					t.Errorf("partition %+v", placed)
 				}
 			}
-			o.reports = map[state.RouterID]Report{}
+			h.reports = map[state.RouterID]Report{}
 			for _, id := range example.routers {
-				o.reports[id] = Report{}
+				h.reports[id] = Report{}
 			}
-			o.run(cutOffCooldown + 2*time.Second)
-			o.check("healed", true, false)
+			h.run(cutOffCooldown + 2*time.Second)
+			h.check("healed", true, false)
 		})
 	}
 }
 
-// TestRouterThatIsCutOffKeepsItsBackupUntilTheVerdict has the primary report its
-// backups as failed as soon as it is cut off.
+// TestRouterThatIsCutOffKeepsItsBackupUntilTheVerdict has a primary report its backups as
+// failed as soon as it is cut off. Its partitions must move to those backups.
 func TestRouterThatIsCutOffKeepsItsBackupUntilTheVerdict(t *testing.T) {
-	o := newOffice(t, "a", "b", "c")
+	h := newPlacementHarness(t, "a", "b", "c")
 	report := Report{Unreachable: []state.RouterID{"b", "c"}}
 	backups := make(map[int]state.RouterID)
-	for _, placed := range o.state.Partitions() {
+	for _, placed := range h.state.Partitions() {
 		if placed.Primary == "a" {
 			report.Failed = append(report.Failed, PartitionEpoch{Number: placed.Number, Epoch: placed.Epoch})
 			backups[placed.Number] = placed.Backup
 		}
 	}
-	o.reports["a"] = report
-	for end := o.now + time.Second; o.now < end && len(backups) > 0; {
-		o.run(tick)
+	h.reports["a"] = report
+	for end := h.now + time.Second; h.now < end && len(backups) > 0; {
+		h.run(tick)
 		for number, backup := range backups {
-			placed, _ := o.state.Partition(number)
+			placed, _ := h.state.Partition(number)
 			if placed.Primary == "a" && placed.Backup == backup {
 				continue
 			}
 			delete(backups, number)
 			if placed.Primary != backup || placed.LostBefore != 0 {
-				t.Errorf("partition %+v did not go to its backup %s", placed, backup)
+				t.Errorf("partition %+v did not move to its backup %s", placed, backup)
 			}
 		}
 	}
 	if len(backups) > 0 {
-		t.Errorf("partitions stayed on the router that is cut off: %v", backups)
+		t.Errorf("partitions stayed on the cut-off router: %v", backups)
 	}
 }
 
-// TestRouterThatMissesDeadOnesIsNotCutOff ends two of three routers. The last one
-// reports both while they still have sessions; every partition that it holds a
-// copy of keeps its records.
+// TestRouterThatMissesDeadOnesIsNotCutOff ends two of three routers. The last one reports
+// both as unreachable while they still have sessions. It must not count as cut off, and
+// every partition of which it holds a copy must keep its records.
 func TestRouterThatMissesDeadOnesIsNotCutOff(t *testing.T) {
-	o := newOffice(t, "a", "b", "c")
+	h := newPlacementHarness(t, "a", "b", "c")
 	held := make(map[int]bool)
-	for _, placed := range o.state.Partitions() {
+	for _, placed := range h.state.Partitions() {
 		held[placed.Number] = placed.Primary == "a" || placed.Backup == "a"
 	}
-	delete(o.reports, "b")
-	delete(o.reports, "c")
-	o.run(tick)
-	o.reports["a"] = Report{Unreachable: []state.RouterID{"b", "c"}}
-	o.run(testLease + lastCopyWait + time.Second)
-	for _, placed := range o.state.Partitions() {
+	delete(h.reports, "b")
+	delete(h.reports, "c")
+	h.run(tick)
+	h.reports["a"] = Report{Unreachable: []state.RouterID{"b", "c"}}
+	h.run(testLease + lastCopyWait + time.Second)
+	for _, placed := range h.state.Partitions() {
 		if lost := placed.LostBefore != 0; placed.Primary != "a" || lost == held[placed.Number] {
 			t.Errorf("partition %+v, a copy was on the last router: %t", placed, held[placed.Number])
 		}
 	}
 }
 
-// TestFlappingReportsAreBounded has two routers report the third on and off, and
-// counts moves: at most one of each partition in each rest, and nothing lost.
+// TestFlappingReportsAreBounded lets reports against a router come and go and counts the
+// moves: at most one of each partition per cooldown, and no records are lost.
 func TestFlappingReportsAreBounded(t *testing.T) {
 	const flap, rests = time.Second, 3
-	o := newOffice(t, "a", "b", "c")
+	h := newPlacementHarness(t, "a", "b", "c")
 	moves := 0
 	primaries := make(map[int]state.RouterID)
-	for _, placed := range o.state.Partitions() {
+	for _, placed := range h.state.Partitions() {
 		primaries[placed.Number] = placed.Primary
 	}
 	blamed := []state.RouterID{"a", "b", "c"}
 	for round := range int(rests * cutOffCooldown / flap) {
 		target := blamed[round%len(blamed)]
-		for id := range o.reports {
-			o.reports[id] = Report{}
+		for id := range h.reports {
+			h.reports[id] = Report{}
 			if id != target && round%2 == 0 {
-				o.reports[id] = Report{Unreachable: []state.RouterID{target}}
+				h.reports[id] = Report{Unreachable: []state.RouterID{target}}
 			}
 		}
-		o.run(flap)
-		for _, placed := range o.state.Partitions() {
+		h.run(flap)
+		for _, placed := range h.state.Partitions() {
 			if placed.Primary != primaries[placed.Number] {
 				primaries[placed.Number] = placed.Primary
 				moves++
@@ -165,13 +165,13 @@
 		}
 	}
 	if most := (rests + 1) * len(primaries); moves == 0 || moves > most {
-		t.Errorf("%d moves, at most %d are due", moves, most)
+		t.Errorf("%d moves, want at least 1 and at most %d", moves, most)
 	}
 }
 
 func TestReachTellsSilenceFromPauses(t *testing.T) {
 	reach, now := NewReachability(), time.Second
-	look := func(count int, answering ...state.RouterID) {
+	probeRounds := func(count int, answering ...state.RouterID) {
 		for range count {
 			now += ProbeInterval
 			reach.BeginRound(now, []state.RouterID{"a", "b"})
@@ -180,23 +180,23 @@
 			}
 		}
 	}
-	look(5, "a", "b")
-	look(3, "a")
-	if silent := reach.Unreachable(now); len(silent) > 0 {
-		t.Errorf("reported %v too early", silent)
+	probeRounds(5, "a", "b")
+	probeRounds(3, "a")
+	if unreachable := reach.Unreachable(now); len(unreachable) > 0 {
+		t.Errorf("reported %v too early", unreachable)
 	}
-	look(2, "a")
-	if silent := reach.Unreachable(now); !slices.Equal(silent, []state.RouterID{"b"}) || reach.Isolated(now) {
-		t.Errorf("reported %v, alone %t", silent, reach.Isolated(now))
+	probeRounds(2, "a")
+	if unreachable := reach.Unreachable(now); !slices.Equal(unreachable, []state.RouterID{"b"}) || reach.Isolated(now) {
+		t.Errorf("reported %v, isolated %t", unreachable, reach.Isolated(now))
 	}
-	look(3)
+	probeRounds(3)
 	if !reach.Isolated(now) {
-		t.Error("a router that no other answers is alone")
+		t.Error("a router that no other router answers does not count as isolated")
 	}
 	now += time.Minute
-	look(1)
-	if silent := reach.Unreachable(now); len(silent) > 0 {
-		t.Errorf("reported %v after a pause of its own", silent)
+	probeRounds(1)
+	if unreachable := reach.Unreachable(now); len(unreachable) > 0 {
+		t.Errorf("reported %v after a pause of this process", unreachable)
 	}
 	reach.MarkAnswered("stranger", now)
 	many := make([]state.RouterID, 0, 2*MaxProbed)
@@ -204,21 +204,21 @@
 		many = append(many, state.RouterID(fmt.Sprint(number)))
 	}
 	if probed := reach.BeginRound(now, many); len(probed) != MaxProbed || len(reach.lastAnswered) != MaxProbed {
-		t.Errorf("%d routers probed, %d kept", len(probed), len(reach.lastAnswered))
+		t.Errorf("%d routers probed, %d tracked", len(probed), len(reach.lastAnswered))
 	}
 }
 
-// TestMoveForBalanceLeavesAWholeCopyInReach guards against keys that nobody serves: a role moves for
-// balance, and the primary is cut off before its new backup has the records. The copy of the old
-// backup is given up with the move, so that nobody else has them.
+// TestMoveForBalanceLeavesAWholeCopyInReach guards against keys that nobody can serve: a role
+// moves for balance, and the primary is cut off before its new backup has the records. If the old
+// backup's copy were given up with the move, no other router would have them.
 func TestMoveForBalanceLeavesAWholeCopyInReach(t *testing.T) {
 	const reported = 400 * time.Millisecond
-	o := newOffice(t, "a", "b", "c")
-	o.reports["d"] = Report{}
+	h := newPlacementHarness(t, "a", "b", "c")
+	h.reports["d"] = Report{}
 	var moving state.RecordPartition
-	for end := o.now + 5*time.Second; moving.Primary == "" && o.now < end; {
-		o.run(tick)
-		for _, placed := range o.state.Partitions() {
+	for end := h.now + 5*time.Second; moving.Primary == "" && h.now < end; {
+		h.run(tick)
+		for _, placed := range h.state.Partitions() {
 			if !placed.BackupSynced {
 				moving = placed
 			}
@@ -227,60 +227,60 @@
 	if moving.Primary == "" {
 		t.Fatal("no role moved to the router that joined")
 	}
-	o.cut = map[state.RouterID]bool{moving.Primary: true}
-	o.run(reported)
+	h.syncBlocked = map[state.RouterID]bool{moving.Primary: true}
+	h.run(reported)
 	var others []state.RouterID
-	for id := range o.reports {
+	for id := range h.reports {
 		if id != moving.Primary {
 			others = append(others, id)
-			o.reports[id] = Report{Unreachable: []state.RouterID{moving.Primary}}
+			h.reports[id] = Report{Unreachable: []state.RouterID{moving.Primary}}
 		}
 	}
-	o.reports[moving.Primary] = Report{Unreachable: others}
-	o.run(2 * time.Second)
-	for _, placed := range o.state.Partitions() {
+	h.reports[moving.Primary] = Report{Unreachable: others}
+	h.run(2 * time.Second)
+	for _, placed := range h.state.Partitions() {
 		if placed.Primary == moving.Primary {
 			t.Errorf("partition %d stays at %s, which is cut off; its backup %s has the records: %v", placed.Number, placed.Primary, placed.Backup, placed.BackupSynced)
 		}
 	}
 }
 
-// TestLeavingPrimaryLeavesAWholeCopyInReach guards against keys that nobody serves: a primary that leaves
-// hands over to its backup, which is cut off before its own backup has the records. The copy of the
-// router that leaves is given up with the move, so that nobody else has them.
+// TestLeavingPrimaryLeavesAWholeCopyInReach guards against keys that nobody can serve: a leaving
+// primary hands over to its backup, which is cut off before its own backup has the records. If the
+// leaving router's copy were given up with the move, no other router would have them.
 func TestLeavingPrimaryLeavesAWholeCopyInReach(t *testing.T) {
 	const reported = 400 * time.Millisecond
-	o := newOffice(t, "a", "b", "c")
+	h := newPlacementHarness(t, "a", "b", "c")
 	earlier := make(map[int]bool)
-	for _, placed := range o.state.Partitions() {
+	for _, placed := range h.state.Partitions() {
 		earlier[placed.Number] = placed.Primary == "a"
 	}
-	o.reports["a"] = Report{Leaving: true}
+	h.reports["a"] = Report{Leaving: true}
 	var moving state.RecordPartition
-	for end := o.now + 5*time.Second; moving.Primary == "" && o.now < end; {
-		o.run(tick)
-		for _, placed := range o.state.Partitions() {
+	for end := h.now + 5*time.Second; moving.Primary == "" && h.now < end; {
+		h.run(tick)
+		for _, placed := range h.state.Partitions() {
 			if earlier[placed.Number] && placed.Primary != "a" && !placed.BackupSynced {
 				moving = placed
 			}
 		}
 	}
 	if moving.Primary == "" {
-		t.Fatal("no partition left the router that leaves")
+		t.Fatal("no partition moved from the leaving router")
 	}
-	o.cut = map[state.RouterID]bool{moving.Primary: true}
-	o.run(reported)
+	h.syncBlocked = map[state.RouterID]bool{moving.Primary: true}
+	h.run(reported)
 	var others []state.RouterID
-	for id, report := range o.reports {
+	for id, report := range h.reports {
 		if id != moving.Primary {
 			others = append(others, id)
 			report.Unreachable = []state.RouterID{moving.Primary}
-			o.reports[id] = report
+			h.reports[id] = report
 		}
 	}
-	o.reports[moving.Primary] = Report{Unreachable: others}
-	o.run(2 * time.Second)
-	for _, placed := range o.state.Partitions() {
+	h.reports[moving.Primary] = Report{Unreachable: others}
+	h.run(2 * time.Second)
+	for _, placed := range h.state.Partitions() {
 		if placed.Primary == moving.Primary {
 			t.Errorf("partition %d stays at %s, which is cut off; its backup %s has the records: %v", placed.Number, placed.Primary, placed.Backup, placed.BackupSynced)
 		}
--- a/internal/record/doc.go
+++ b/internal/record/doc.go
@@ -1,19 +1,19 @@
-// Package record holds the decisions about idempotency records, by which a
-// request that may not be repeated runs at most once.
+// Package record implements the decisions about idempotency records, which let a
+// request that must not be repeated run at most once.
 //
 // Partition is one router's copy of one partition of the records, as primary or
-// as backup. Placement is what the leading controller decides: which routers
-// have sessions, and which of them hold which partition. Both are pure: they
-// take inputs and clock readings and give typed results, and have no
+// as backup. Placement runs on the leading controller and decides which routers
+// have sessions and which of them hold which partition. Both are deterministic:
+// they take inputs and clock readings, return typed results, and use no
 // goroutines, locks or I/O.
 //
 // The guarantee rests on these rules:
 //
-//   - The primary grants a claim only after the backup stored the record at the
-//     same epoch. A backup refuses an epoch below the highest that it knows, and
-//     a promoted backup knows the new epoch before it grants.
-//   - A primary without a backup grants only while its lease lasts, and the
-//     controllers replace it only once that lease has surely ended.
-//   - A record is never deleted before every router refuses its key for its age.
-//   - After a loss of records, keys drawn before the loss are never granted.
+//   - The primary grants a claim only after the backup has stored the record at
+//     the same epoch. A backup rejects epochs lower than the highest it has seen,
+//     and a promoted backup has seen the new epoch before it grants claims.
+//   - A primary without a backup grants claims only while its lease is valid, and
+//     the controllers replace it only after that lease has certainly expired.
+//   - A record is deleted only after every router rejects its key as too old.
+//   - After a loss of records, keys generated before the loss are never granted.
 package record
--- a/internal/record/fit.go
+++ b/internal/record/fit.go
@@ -6,24 +6,25 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
-// eligibleForSession reports whether a process wants a session and may have one by its
-// own settings.
-func (c *routerStatus) eligibleForSession() bool {
-	return !c.report.Stopped && !c.report.Leaving && !c.report.Incompatible
+// eligibleForSession reports whether a process wants a session and its settings
+// allow one.
+func (s *routerStatus) eligibleForSession() bool {
+	return !s.report.Stopped && !s.report.Leaving && !s.report.Incompatible
 }
 
-// lifetimes are those of the records that routers with a session keep. A router
-// with a longer lifetime admits keys whose records one with a shorter lifetime has
-// dropped, so that they never have sessions at the same time.
+// lifetimes summarizes the record lifetimes of the routers with an open session.
+// Routers with different lifetimes never have sessions at the same time: the one
+// with the longer lifetime would accept keys whose records the other has dropped.
 type lifetimes struct {
-	// incomplete is true while a router with a session has not told its lifetime to
-	// this controller yet.
+	// incomplete is true while a router with an open session has not yet pinged
+	// this controller.
 	incomplete bool
-	// shortest and longest are of those that were told; zero while none was.
+	// shortest and longest cover the reported lifetimes; zero if none was reported.
 	shortest, longest time.Duration
 }
 
-// openLifetimes looks at each router once, since it is asked for at every tick.
+// openLifetimes collects the lifetimes in one pass over the routers, because it
+// runs at every tick.
 func (p *Placement) openLifetimes(routers []state.Router) lifetimes {
 	var open lifetimes
 	for _, router := range routers {
@@ -49,8 +50,8 @@
 	l.longest = max(l.longest, lifetime)
 }
 
-// compatible reports whether a router that tells a lifetime, or none, may have a
-// session beside the others.
+// compatible reports whether a router with this lifetime, zero if it reports none,
+// may have a session at the same time as the others.
 func (l *lifetimes) compatible(lifetime time.Duration) bool {
 	if lifetime == 0 {
 		return true
--- a/internal/record/fit_test.go
+++ b/internal/record/fit_test.go
@@ -7,40 +7,40 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
-func (o *office) open(id state.RouterID) bool {
-	router, _ := o.state.Router(id)
+func (h *placementHarness) open(id state.RouterID) bool {
+	router, _ := h.state.Router(id)
 	return router.Session.Open
 }
 
-// TestRoutersWithDifferentLifetimesNeverHaveSessionsTogether: one that keeps
-// records longer would admit keys whose records the other has dropped.
+// TestRoutersWithDifferentLifetimesNeverHaveSessionsTogether guards against a router that
+// keeps records longer and accepts keys whose records another router has dropped.
 func TestRoutersWithDifferentLifetimesNeverHaveSessionsTogether(t *testing.T) {
 	short, long := Report{Lifetime: testLifetime}, Report{Lifetime: time.Hour}
-	o := newOffice(t)
-	o.reports["a"], o.reports["b"] = long, short
-	o.run(time.Second)
-	if !o.open("a") || o.open("b") {
-		t.Fatalf("both came at once: a has a session: %t, b: %t", o.open("a"), o.open("b"))
+	h := newPlacementHarness(t)
+	h.reports["a"], h.reports["b"] = long, short
+	h.run(time.Second)
+	if !h.open("a") || h.open("b") {
+		t.Fatalf("both pinged at the same time: a has a session: %t, b: %t", h.open("a"), h.open("b"))
 	}
-	o.placement.Lead(o.now)
-	delete(o.reports, "a")
-	o.run(testLease)
-	if !o.open("a") || o.open("b") {
-		t.Errorf("after an election, a not heard yet: a has a session: %t, b: %t", o.open("a"), o.open("b"))
+	h.placement.Lead(h.now)
+	delete(h.reports, "a")
+	h.run(testLease)
+	if !h.open("a") || h.open("b") {
+		t.Errorf("after an election, before a pings: a has a session: %t, b: %t", h.open("a"), h.open("b"))
 	}
-	o.reports["a"] = long
-	o.run(time.Second)
-	if !o.open("a") || o.open("b") {
-		t.Errorf("after an election: a has a session: %t, b: %t", o.open("a"), o.open("b"))
+	h.reports["a"] = long
+	h.run(time.Second)
+	if !h.open("a") || h.open("b") {
+		t.Errorf("after an election: a has a session: %t, b: %t", h.open("a"), h.open("b"))
 	}
-	o.reports["a"] = Report{Stopped: true, Lifetime: time.Hour}
-	o.run(time.Second)
-	if o.open("a") || !o.open("b") {
-		t.Errorf("after the stop of a: a has a session: %t, b: %t", o.open("a"), o.open("b"))
+	h.reports["a"] = Report{Stopped: true, Lifetime: time.Hour}
+	h.run(time.Second)
+	if h.open("a") || !h.open("b") {
+		t.Errorf("after the stop of a: a has a session: %t, b: %t", h.open("a"), h.open("b"))
 	}
-	o.reports["c"] = Report{Incompatible: true, Lifetime: testLifetime}
-	o.run(time.Second)
-	if o.open("c") {
-		t.Error("a router whose settings do not fit got a session")
+	h.reports["c"] = Report{Incompatible: true, Lifetime: testLifetime}
+	h.run(time.Second)
+	if h.open("c") {
+		t.Error("a router with incompatible settings got a session")
 	}
 }
--- a/internal/record/key.go
+++ b/internal/record/key.go
@@ -9,17 +9,18 @@
 	"github.com/thorntiller/thorntiller/internal/fault"
 )
 
-// ClockSkew bounds the difference between any two wall clocks among callers,
-// routers and controllers. A key may lie that far in the future.
+// ClockSkew is the maximum difference between any two wall clocks of callers,
+// routers and controllers. A key's timestamp may be that far in the future.
 const ClockSkew = 5 * time.Second
 
-// keyVersion is the UUID version whose first 48 bits are a Unix time.
+// keyVersion is the UUID version whose first 48 bits are a Unix timestamp in milliseconds.
 const keyVersion = 7
 
 // Key is an Idempotency-Key: a UUID of version 7.
 type Key [16]byte
 
-// ParseKey reads the header's value. Its error is of kind invalid_request.
+// ParseKey parses the value of the Idempotency-Key header. Its errors are of kind
+// invalid_request.
 func ParseKey(text string) (Key, error) {
 	parsed, err := uuid.Parse(text)
 	if err != nil {
@@ -34,8 +35,8 @@
 	return Key(parsed), nil
 }
 
-// UnixMs returns when the key was drawn, in Unix milliseconds of its caller's
-// clock.
+// UnixMs returns the time at which the key was generated, in Unix milliseconds by
+// the caller's clock.
 func (k Key) UnixMs() int64 {
 	const timeBytes = 6
 	var milliseconds int64
@@ -45,7 +46,7 @@
 	return milliseconds
 }
 
-// Partition returns the number of the key's partition among count.
+// Partition returns the number of the key's partition, out of count partitions.
 func (k Key) Partition(count int) int {
 	return int(xxhash.Sum64(k[:]) % uint64(count))
 }
--- a/internal/record/loss.go
+++ b/internal/record/loss.go
@@ -6,31 +6,33 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
-// lossSkew is added to the last moment at which a lost primary may have granted
-// a claim, by the controller's clock. The primary's clock may be ClockSkew ahead
-// of it, and the key that it granted ClockSkew ahead of the primary's. It is the
-// least that is safe without trust in callers' clocks.
+// lossSkew is added to the latest time, by the controller's clock, at which a lost
+// primary may have granted a claim. The primary's clock may be ClockSkew ahead of
+// the controller's, and the granted key another ClockSkew ahead of the primary's.
+// It is the smallest margin that is safe without trusting callers' clocks.
 const lossSkew = 2 * ClockSkew
 
-// leaseEnding is what the leader knows of the end of a router's lease.
+// leaseEnding is what the leader knows about the end of the lease of a router's session.
 type leaseEnding struct {
 	session state.SessionNumber
-	// revision is the highest table revision that the router said it follows.
+	// revision is the highest table revision that the router reported to follow.
 	revision state.Revision
-	// endedMs is the wall clock when the lease had surely ended, zero before.
+	// endedMs is the wall clock time, in Unix milliseconds, at which the lease was
+	// first seen to have ended; zero while it may be valid.
 	endedMs int64
 }
 
-// primaryStart is what the leader knows of the beginning of a partition's primary.
+// primaryStart is what the leader knows about when a partition's primary took over.
 type primaryStart struct {
 	primary state.RouterID
 	session state.SessionNumber
-	// revision is that of a table which names the primary; zero if the session of
-	// the one before was closed first, so that earlier ones grant nothing.
+	// revision is that of a routing table that names the primary; zero if the
+	// previous primary's session was closed first, so that no earlier primary can
+	// grant claims.
 	revision state.Revision
 }
 
-// notePrimaryStart notes a new primary of a partition.
+// notePrimaryStart records the start of a partition's primary if it is a new one.
 func (p *Placement) notePrimaryStart(placed state.RecordPartition) {
 	start := p.primaryStarts[placed.Number]
 	if start.primary != placed.Primary || start.session != placed.PrimarySession {
@@ -38,23 +40,24 @@
 	}
 }
 
-// trackSession begins to note the end of a session's lease, if it is a new one.
-func (c *routerStatus) trackSession(session state.SessionNumber) {
-	if c.leaseEnd.session != session {
-		c.previousLeaseEnd = c.leaseEnd
-		c.leaseEnd = leaseEnding{session: session}
+// trackSession starts tracking the end of a session's lease if the session is new.
+func (s *routerStatus) trackSession(session state.SessionNumber) {
+	if s.leaseEnd.session != session {
+		s.previousLeaseEnd = s.leaseEnd
+		s.leaseEnd = leaseEnding{session: session}
 	}
 }
 
-// noteRevision notes the table revision that the process of a session noteRevision.
-func (c *routerStatus) noteRevision(session state.SessionNumber, revision state.Revision) {
-	c.trackSession(session)
-	c.leaseEnd.revision = max(c.leaseEnd.revision, revision)
-	c.leaseEnd.endedMs = 0
+// noteRevision records the table revision that the process with a session follows.
+// The process has just renewed its lease, so the lease counts as valid again.
+func (s *routerStatus) noteRevision(session state.SessionNumber, revision state.Revision) {
+	s.trackSession(session)
+	s.leaseEnd.revision = max(s.leaseEnd.revision, revision)
+	s.leaseEnd.endedMs = 0
 }
 
-// noteLeaseEnds notes the leases that have surely ended, before their sessions are
-// closed, which may take longer.
+// noteLeaseEnds records which leases have certainly ended. Closing their sessions
+// may take longer.
 func (p *Placement) noteLeaseEnds(moment Moment, view *state.State) {
 	for _, router := range view.Routers() {
 		status := p.status(router.ID)
@@ -68,8 +71,8 @@
 	}
 }
 
-// leaseEnded reports whether a router's process can hold no lease of its newest
-// session any more.
+// leaseEnded reports whether a router's process can no longer hold a lease for its
+// newest session.
 func (p *Placement) leaseEnded(now time.Duration, router state.Router) bool {
 	status := p.status(router.ID)
 	if !router.Session.Open {
@@ -79,10 +82,11 @@
 	return stopped || (status.session == router.Session.Number && now-status.renewedAt > p.settings.leaseTimeout())
 }
 
-// lostBefore returns the time up to which keys may have been granted in a
-// partition whose records are lost. Its last primary granted nothing after its
-// lease. Earlier ones granted nothing after their sessions were closed, or since
-// the last one follows its own placement: as their backup it refuses them then.
+// lostBefore returns the time, in Unix milliseconds, before which keys may have
+// been granted in a partition whose records are lost. The last primary granted
+// nothing after its lease ended. Earlier primaries granted nothing after their
+// sessions were closed, or after the last primary began to follow its own
+// placement: as their backup, it rejects their records from then on.
 func (r *placementRound) lostBefore(placed state.RecordPartition) int64 {
 	lastGrantMs := r.moment.UnixMs
 	primary := r.placement.status(placed.Primary)
--- a/internal/record/outcome.go
+++ b/internal/record/outcome.go
@@ -4,7 +4,7 @@
 	"github.com/thorntiller/thorntiller/internal/fault"
 )
 
-// Final reports whether the same claim would get the same answer again.
+// Final reports whether resending the same claim would get the same verdict.
 func (v Verdict) Final() bool {
 	switch v {
 	case NotPrimary, NotStored, InProgress:
@@ -14,8 +14,8 @@
 	}
 }
 
-// Refusal returns how a request is answered whose claim got the verdict, other
-// than Granted and AnswerKept. Key is the header's value.
+// Refusal returns the error for a request whose claim got a verdict other than
+// Granted or AnswerKept. The key is the value of the Idempotency-Key header.
 func (v Verdict) Refusal(key string) *fault.Error {
 	switch v {
 	case InProgress:
@@ -38,8 +38,8 @@
 	}
 }
 
-// StatusAfter returns the status with which an attempt ends, given its failure;
-// nil when the back end answered.
+// StatusAfter returns the final status of an attempt with the given failure, which
+// is nil if the back end answered.
 func StatusAfter(failure *fault.Error) Status {
 	switch {
 	case failure == nil:
--- a/internal/record/partition.go
+++ b/internal/record/partition.go
@@ -13,18 +13,18 @@
 	settings Settings
 	self     state.RouterID
 	role     Role
-	// placed is the newest placement that this router saw.
+	// placed is the newest placement that this router has seen.
 	placed state.RecordPartition
-	// epoch is the highest that this router knows, from the routing table or
+	// epoch is the highest epoch that this router knows, from the routing table or
 	// from a primary.
 	epoch   state.Epoch
 	records map[Key]*Record
-	// byAge orders the keys by when they were drawn.
+	// byAge is a heap of the keys, oldest first.
 	byAge keyHeap
-	// answerBytes is the size of all kept answers.
+	// answerBytes is the total size of the kept answers.
 	answerBytes int
-	// maxWallMs is the highest wall clock reading, so that a clock that is set
-	// back does not make old keys young.
+	// maxWallMs is the highest wall clock reading so far, so that setting the clock
+	// back does not make expired keys acceptable again.
 	maxWallMs int64
 }
 
@@ -33,23 +33,23 @@
 	return &Partition{settings: settings, self: self, records: make(map[Key]*Record)}
 }
 
-// Role returns the router's role at Epoch.
+// Role returns the router's role at the epoch that Epoch returns.
 func (p *Partition) Role() Role { return p.role }
 
 // Epoch returns the highest epoch that this router knows.
 func (p *Partition) Epoch() state.Epoch { return p.epoch }
 
-// Placed returns the newest placement that this router saw.
+// Placed returns the newest placement that this router has seen.
 func (p *Partition) Placed() state.RecordPartition { return p.placed }
 
 // Len returns the number of records.
 func (p *Partition) Len() int { return len(p.records) }
 
-// Place takes over the placement in the routing table, given the number of the
-// router's open session, zero for none. It reports whether the role or the
-// epoch changed. Records are kept only by a router that was primary or backup
-// before and is primary now, by a backup of the same epoch, and by the former
-// copy, which is a backup that holds every record already.
+// Place applies the placement from the routing table, given the number of the
+// router's open session, zero for none. It reports whether the role or the epoch
+// changed. Records are kept only by a router that was primary or backup and is now
+// primary, by a backup at an unchanged epoch, and by the former copy, which is a
+// backup that already holds every record.
 func (p *Partition) Place(placed state.RecordPartition, session state.SessionNumber) bool {
 	if placed.Epoch < p.epoch {
 		return false
@@ -68,7 +68,7 @@
 	return changed
 }
 
-// completeSince reports whether this router has had a copy of every record since an epoch.
+// completeSince reports whether this router has held a copy of every record since the given epoch.
 func (p *Partition) completeSince(epoch state.Epoch) bool {
 	return p.role != RoleNone && p.epoch >= epoch
 }
@@ -92,22 +92,22 @@
 	p.answerBytes = 0
 }
 
-// isActivePrimary reports whether this router may answer as the primary. The lease ends
-// on the router's own monotonic clock.
+// isActivePrimary reports whether this router may answer as the primary. The end of
+// the lease is a time on the router's own monotonic clock.
 func (p *Partition) isActivePrimary(now Moment, leaseEnd time.Duration) bool {
 	return p.role == RolePrimary && p.placed.Epoch == p.epoch && now.Now < leaseEnd
 }
 
-// Confirm reports whether a record that was stored on the backup at an epoch
-// counts: the router must still be the primary at that epoch, under its lease.
+// Confirm reports whether a record that the backup stored at an epoch counts: this
+// router must still be the primary at that epoch and hold a valid lease.
 func (p *Partition) Confirm(now Moment, leaseEnd time.Duration, epoch state.Epoch) bool {
 	return p.epoch == epoch && p.isActivePrimary(now, leaseEnd)
 }
 
-// Claim decides on a claim at the primary. With Granted comes the record, which
-// must be stored on the backup, and confirmed, before the attempt may run; with
-// AnswerKept comes the record that holds the answer. The function open reports
-// whether a router's session may still be open.
+// Claim decides on a claim at the primary. With Granted it returns the record, which
+// must be stored on the backup and confirmed before the attempt may run; with
+// AnswerKept it returns the record that holds the answer. The function sessionOpen
+// reports whether a router's session may still be open.
 func (p *Partition) Claim(now Moment, leaseEnd time.Duration, claim Claim, sessionOpen func(state.RouterID, state.SessionNumber) bool) (Verdict, Record) {
 	if !p.isActivePrimary(now, leaseEnd) {
 		return NotPrimary, Record{}
@@ -132,7 +132,7 @@
 	return Granted, p.update(claim, Running, nil)
 }
 
-// checkRecord decides by the record that is held for the key.
+// checkRecord returns the verdict on a claim given the existing record of its key.
 func checkRecord(existing *Record, claim Claim, sessionOpen func(state.RouterID, state.SessionNumber) bool) Verdict {
 	sameAttempt := existing.Attempt == claim.Attempt
 	switch {
@@ -165,8 +165,8 @@
 	}
 }
 
-// Complete records how an attempt ended. With Stored comes the record for the
-// backup. What another attempt did since is left as it is.
+// Complete records how an attempt ended. With Stored it returns the record to send to
+// the backup. The record of a later attempt is left unchanged.
 func (p *Partition) Complete(now Moment, leaseEnd time.Duration, completion Completion) (Verdict, Record) {
 	if !p.isActivePrimary(now, leaseEnd) {
 		return NotPrimary, Record{}
@@ -189,7 +189,7 @@
 	return Stored, p.update(claim, completion.Status, completion.Answer)
 }
 
-// update writes a new version of a record and returns a copy.
+// update writes a new version of a record and returns a copy of it.
 func (p *Partition) update(claim Claim, status Status, answer *Answer) Record {
 	next := Record{
 		Key: claim.Key, Fingerprint: claim.Fingerprint, Version: p.firstVersion(), Status: status,
@@ -205,11 +205,12 @@
 	return next
 }
 
-// versionBits are those of a record's version that count its changes within one epoch.
+// versionBits is the number of low bits of a record's version that count its changes within one epoch.
 const versionBits = 32
 
-// firstVersion is the lowest version that is written at the present epoch: above all that an earlier
-// primary wrote, also what it could not store on its backup before it became the former copy.
+// firstVersion returns the lowest version that is written at the current epoch. It is higher than every
+// version that an earlier primary wrote, including those that it could not store on its backup before it
+// became the former copy.
 func (p *Partition) firstVersion() uint64 { return uint64(p.epoch)<<versionBits + 1 }
 
 func (p *Partition) put(next Record) {
@@ -223,7 +224,7 @@
 	p.records[next.Key] = &next
 }
 
-// Expire forgets records whose keys every router refuses for their age.
+// Expire deletes records whose keys every router rejects as too old.
 func (p *Partition) Expire(now Moment) {
 	p.maxWallMs = max(p.maxWallMs, now.UnixMs)
 	for len(p.byAge) > 0 && p.maxWallMs-p.byAge[0].UnixMs() > p.settings.retentionMs() {
@@ -233,10 +234,10 @@
 	}
 }
 
-// Store takes records from the primary at an epoch and reports whether this
-// router holds them now. A higher epoch than the known one makes the router a
-// new backup, which begins with nothing, unless it is the former copy: formerEpoch
-// is then the epoch since which it holds every record, and zero for others.
+// Store takes records from the primary at an epoch and reports whether this router
+// now holds them. An epoch higher than the known one makes the router a new backup,
+// which starts empty unless it is the former copy. For the former copy, formerEpoch
+// is the epoch since which it has held every record; for others it is zero.
 func (p *Partition) Store(epoch, formerEpoch state.Epoch, records []Record) bool {
 	if epoch < p.epoch || (epoch == p.epoch && p.role != RoleBackup) {
 		return false
@@ -265,9 +266,9 @@
 	return append([]Key(nil), p.byAge...)
 }
 
-// Records returns the present versions of the first keys, without those
-// forgotten meanwhile, up to a number of records and about as many bytes of
-// answers, and the keys that are left.
+// Records returns the current versions of the first keys, and the keys that remain.
+// It skips keys deleted in the meantime, and stops at maxRecords records or about
+// maxBytes bytes of answers.
 func (p *Partition) Records(keys []Key, maxRecords, maxBytes int) ([]Record, []Key) {
 	var records []Record
 	bytes := 0
@@ -281,7 +282,7 @@
 	return records, keys
 }
 
-// keyHeap has the oldest key first.
+// keyHeap is a heap with the oldest key first.
 type keyHeap []Key
 
 // Len implements heap.Interface.
--- a/internal/record/place.go
+++ b/internal/record/place.go
@@ -8,24 +8,25 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
-// imbalanceThreshold is the difference in the numbers of primaries, or of backups, of two
-// routers from which one is moved.
+// imbalanceThreshold is the difference between two routers' numbers of primaries, or of
+// backups, from which one role is moved.
 const imbalanceThreshold = 2
 
-// placementRound is one look at all partitions.
+// placementRound is one pass over all partitions.
 type placementRound struct {
 	placement *Placement
 	moment    Moment
 	routers   map[state.RouterID]state.Router
-	// candidates may take new roles.
+	// candidates holds the routers that may take new roles.
 	candidates []state.Router
 	primaries  map[state.RouterID]int
 	backups    map[state.RouterID]int
-	// settled is true while every backup holds every record and none failed lately.
+	// settled is true if every backup holds every record, no backup failed recently, no router is
+	// reported as unreachable, and no role was moved for balance in this round.
 	settled bool
 }
 
-// place returns the partitions that must change.
+// place returns the new placements of the partitions that must change.
 func (p *Placement) place(moment Moment, view *state.State) []state.RecordPartition {
 	round := p.newRound(moment, view)
 	partitions := view.Partitions()
@@ -33,9 +34,9 @@
 		return round.placeAll(p.settings.Count)
 	}
 	p.dropOutdatedReports(partitions)
-	// While a backup does not answer, others may be dead as well. While a router does not reach
-	// another one, a new backup might never get its copy, and the old one's would be gone: the keys
-	// would be served by nobody for as long as their primary is cut off.
+	// If a backup does not answer, other routers may be dead as well. If a router cannot reach another
+	// one, a new backup might never receive its copy, and the old backup's copy would be gone: nobody
+	// could serve the keys for as long as their primary is cut off.
 	round.settled = len(p.avoidUntil) == 0 && !p.anyUnreachable(moment.Now)
 	for _, placed := range partitions {
 		round.settled = round.settled && placed.BackupSynced
@@ -72,15 +73,15 @@
 	return round
 }
 
-// canTakeRoles reports whether a router may take new roles. One without an address for
-// other routers only reads the table.
+// canTakeRoles reports whether a router may take new roles. A router without a peer
+// address only reads the table.
 func (p *Placement) canTakeRoles(now time.Duration, router state.Router) bool {
 	status := p.status(router.ID)
 	return router.PeerAddress != "" && p.pingedRecently(now, status) && status.process.Session.Incarnation == router.Session.Incarnation &&
 		status.closing != router.Session.Number && !status.report.Leaving && !status.report.Stopped
 }
 
-// dropOutdatedReports drops reports about epochs that are over.
+// dropOutdatedReports drops reports about earlier epochs.
 func (p *Placement) dropOutdatedReports(partitions []state.RecordPartition) {
 	current := make(map[PartitionEpoch]bool, len(partitions))
 	for _, placed := range partitions {
@@ -116,7 +117,7 @@
 	return partitions
 }
 
-// nextPlacement returns the partition as it should be, and whether that differs.
+// nextPlacement returns the partition's new placement and whether it differs from the current one.
 func (r *placementRound) nextPlacement(placed state.RecordPartition) (state.RecordPartition, bool) {
 	if next, changed, decided := r.nextPrimary(placed); decided {
 		return next, changed
@@ -153,8 +154,8 @@
 	}
 }
 
-// nextPrimary decides about a primary that ended or is cut off from the others. It reports false for
-// one that stays as far as that goes.
+// nextPrimary decides about a primary whose session closed or that is cut off from the others. The result
+// decided is false if neither calls for a change of the primary.
 func (r *placementRound) nextPrimary(placed state.RecordPartition) (next state.RecordPartition, changed, decided bool) {
 	successor, found := r.completeCopy(placed)
 	switch {
@@ -171,13 +172,14 @@
 	}
 }
 
-// holder is one process of a router.
+// holder is a router process that holds a copy of a partition.
 type holder struct {
 	router  state.RouterID
 	session state.SessionNumber
 }
 
-// completeCopy returns the holder of every record beside the primary, if there is one that may still run.
+// completeCopy returns a router process other than the primary that holds every record and whose session
+// is open, if there is one.
 func (r *placementRound) completeCopy(placed state.RecordPartition) (holder, bool) {
 	if placed.BackupSynced && r.sessionOpen(placed.Backup, placed.BackupSession) {
 		return holder{placed.Backup, placed.BackupSession}, true
@@ -188,9 +190,9 @@
 	return holder{}, false
 }
 
-// cannotTakeOver reports whether an heir does not take over from a primary that is cut off: its router has
-// stopped, or leaves and is the backup, in whose place another one comes. A former copy takes over though
-// its router leaves, since nobody else in reach has the records.
+// cannotTakeOver reports whether a successor must not take over from a primary that is cut off: its router
+// has stopped, or is leaving and is the backup, which another router will replace. A former copy takes over
+// even if its router is leaving, because no other reachable router has the records.
 func (r *placementRound) cannotTakeOver(placed state.RecordPartition, successor holder) bool {
 	if successor.router == placed.Former {
 		return r.hasStopped(successor.router)
@@ -198,8 +200,9 @@
 	return r.isLeaving(successor.router)
 }
 
-// shouldDropFormer reports whether the former copy is given up: its router stopped or does not answer. A
-// primary that may be cut off itself does not decide that.
+// shouldDropFormer reports whether the former copy is given up: its session closed, it stopped or does not
+// answer, or some router does not support former copies. The report of a primary that may itself be cut off
+// does not count.
 func (r *placementRound) shouldDropFormer(placed state.RecordPartition) bool {
 	switch {
 	case placed.Former == "":
@@ -212,8 +215,8 @@
 	}
 }
 
-// rebalance evens out the roles that routers have, one partition at a time. The copy of the router that
-// loses a role is kept up to date until the new backup has every record.
+// rebalance evens out the roles among routers, one partition at a time. The copy on the router that loses
+// a role is kept up to date until the new backup has every record.
 func (r *placementRound) rebalance(placed state.RecordPartition) (state.RecordPartition, bool) {
 	if r.primaries[placed.Primary]-r.primaries[placed.Backup] >= imbalanceThreshold && !r.placement.inCooldown(r.moment.Now, placed.Backup) {
 		next := r.promote(placed, holder{placed.Backup, placed.BackupSession})
@@ -232,7 +235,8 @@
 	return placed, false
 }
 
-// withFormer keeps the copy of a router that held every record at an epoch.
+// withFormer keeps the copy of a router that held every record at the given epoch as the former copy, if
+// all routers support former copies.
 func (r *placementRound) withFormer(placed state.RecordPartition, former holder, epoch state.Epoch) state.RecordPartition {
 	if r.placement.formersSupported(r.moment.Now) {
 		placed.Former, placed.FormerSession, placed.FormerEpoch = former.router, former.session, epoch
@@ -250,12 +254,12 @@
 	return status.report.Leaving || status.report.Stopped
 }
 
-// hasStopped reports whether a router promised that it never acts as a primary again.
+// hasStopped reports whether a router promised never to act as a primary again.
 func (r *placementRound) hasStopped(router state.RouterID) bool {
 	return r.placement.status(router).report.Stopped
 }
 
-// promote makes the heir, which holds every record, the primary.
+// promote makes the successor, which holds every record, the primary.
 func (r *placementRound) promote(placed state.RecordPartition, successor holder) state.RecordPartition {
 	r.primaries[placed.Primary]--
 	r.backups[placed.Backup]--
@@ -269,15 +273,15 @@
 	return next
 }
 
-// takeOver makes the heir the primary in place of one whose session is closed, and
-// notes that earlier primaries grant nothing any more.
+// takeOver makes the successor the primary in place of one whose session is closed, and
+// records that earlier primaries can no longer grant claims.
 func (r *placementRound) takeOver(placed state.RecordPartition, successor holder) state.RecordPartition {
 	next := r.promote(placed, successor)
 	r.placement.primaryStarts[placed.Number] = primaryStart{primary: next.Primary, session: next.PrimarySession}
 	return next
 }
 
-// restartEmpty begins the partition anew after the loss of all its records.
+// restartEmpty places the partition anew after the loss of all its records.
 func (r *placementRound) restartEmpty(placed state.RecordPartition) (state.RecordPartition, bool) {
 	if len(r.candidates) == 0 {
 		return placed, false
@@ -291,8 +295,8 @@
 	return next, true
 }
 
-// replaceUnusableBackup replaces a backup that is gone, does not answer, is cut off or leaves. The whole copy of
-// one that leaves is kept until the new backup has every record.
+// replaceUnusableBackup replaces a backup that is gone, does not answer, is cut off or is leaving. The
+// complete copy on a leaving router is kept until the new backup has every record.
 func (r *placementRound) replaceUnusableBackup(placed state.RecordPartition) state.RecordPartition {
 	next := r.replaceBackup(placed)
 	backup := holder{placed.Backup, placed.BackupSession}
@@ -329,8 +333,9 @@
 	r.backups[best.ID]++
 }
 
-// bestBackup chooses a router that answers the primary, in another zone if there
-// is one, with the fewest backups. Without such a router it returns nil.
+// bestBackup returns the candidate with the fewest backups, preferably in another zone
+// than the primary. It skips routers that recently failed to answer the primary, and
+// returns nil if none is left.
 func (r *placementRound) bestBackup(primary state.RouterID) *state.Router {
 	zone := r.routers[primary].Zone
 	var best *state.Router
--- a/internal/record/placement.go
+++ b/internal/record/placement.go
@@ -8,20 +8,20 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
-// PlacementSettings configure Placement.
+// PlacementSettings are the settings of a Placement.
 type PlacementSettings struct {
 	// Count is the number of partitions of a new cluster.
 	Count int
-	// LeaseDuration is the length of a router's lease, from the moment at which
+	// LeaseDuration is the length of a router's lease, counted from the time at which
 	// the router sent its ping.
 	LeaseDuration time.Duration
-	// ClockRateBound is the largest difference in speed of two clocks.
+	// ClockRateBound is the maximum relative difference in rate of two clocks.
 	ClockRateBound float64
-	// Margin is added before a lease counts as ended.
+	// Margin is an extra wait before a lease counts as ended.
 	Margin time.Duration
 }
 
-// leaseTimeout is how long after the last grant a lease has surely ended.
+// leaseTimeout returns how long after its last renewal a lease has certainly ended.
 func (s PlacementSettings) leaseTimeout() time.Duration {
 	return time.Duration(float64(s.LeaseDuration)*(1+s.ClockRateBound)) + s.Margin
 }
@@ -30,113 +30,113 @@
 	// initialPlacementWait is how long the first router waits for a second one before
 	// the partitions are placed for the first time.
 	initialPlacementWait = time.Second
-	// failedBackupCooldown is how long a backup that did not answer is not chosen again by
-	// the same primary.
+	// failedBackupCooldown is how long the same primary does not choose a backup again
+	// that did not answer.
 	failedBackupCooldown = 3 * time.Second
-	// reconnectWait is added for routers that a new leader has not heard yet.
+	// reconnectWait is added for routers that have not pinged a new leader yet.
 	reconnectWait = time.Second
-	// lastCopyWait is added before the session of a router is closed that alone
-	// holds the records of a partition, as far as is known: it may come back.
+	// lastCopyWait is added before closing the session of a router that holds the only
+	// known copy of a partition's records, because the router may come back.
 	lastCopyWait = 4 * time.Second
-	// pauseDivisor is the part of a lease's length from which a gap between two
-	// looks counts as a pause of this controller.
+	// pauseDivisor sets the gap between two ticks that counts as a pause of this
+	// controller: the lease duration divided by it.
 	pauseDivisor = 2
 )
 
-// PartitionEpoch names a partition at one epoch.
+// PartitionEpoch identifies a partition at one epoch.
 type PartitionEpoch struct {
 	Number int
 	Epoch  state.Epoch
 }
 
-// Report is what a router process says with a ping.
+// Report is the status that a router process sends with a ping.
 type Report struct {
-	// Synced lists partitions whose backup holds every record of this primary.
+	// Synced lists partitions of this primary whose backup holds every record.
 	Synced []PartitionEpoch
-	// Failed lists partitions whose backup does not answer this primary.
+	// Failed lists partitions of this primary whose backup does not answer.
 	Failed []PartitionEpoch
-	// FailedFormers lists partitions whose former copy does not answer this primary.
+	// FailedFormers lists partitions of this primary whose former copy does not answer.
 	FailedFormers []PartitionEpoch
-	// IgnoresFormers is true for a process of a version that does not know of former copies.
+	// IgnoresFormers is true if the process's version does not support former copies.
 	IgnoresFormers bool
-	// Leaving asks to move the router's partitions.
+	// Leaving requests that the router's partitions be moved away.
 	Leaving bool
-	// Stopped promises that the process never acts as a primary again.
+	// Stopped guarantees that the process never acts as a primary again.
 	Stopped bool
-	// Unreachable lists routers that do not answer this one, MaxProbed at most.
+	// Unreachable lists routers that do not answer this one; only the first MaxProbed count.
 	Unreachable []state.RouterID
-	// Revision is that of the table that the router's partitions follow.
+	// Revision is the revision of the routing table that the router's partitions follow.
 	Revision state.Revision
-	// Incompatible says that the router's settings allow it no session.
+	// Incompatible is true if the router's settings rule out a session.
 	Incompatible bool
-	// Lifetime is how long the router keeps records, zero if it does not tell.
+	// Lifetime is how long the router keeps records, zero if it does not report it.
 	Lifetime time.Duration
 }
 
-// Placement decides, on the leading controller, about the routers' sessions and
-// the places of the record partitions. It is not safe for concurrent use.
+// Placement runs on the leading controller and decides on the routers' sessions and
+// on which routers hold the record partitions. It is not safe for concurrent use.
 type Placement struct {
 	settings PlacementSettings
 	statuses map[state.RouterID]*routerStatus
-	// leadingSince is when this controller was elected.
+	// leadingSince is when this controller became the leader.
 	leadingSince time.Duration
-	// lastTick is when Tick was called last.
+	// lastTick is the time of the last call of Tick.
 	lastTick time.Duration
-	// firstUsableAt is when the first router could take partitions.
+	// firstUsableAt is when the first router became able to take partitions.
 	firstUsableAt time.Duration
 	synced        map[PartitionEpoch]bool
 	failed        map[PartitionEpoch]bool
-	// failedFormers are the partitions whose former copy does not answer.
+	// failedFormers holds the partitions whose former copy does not answer.
 	failedFormers map[PartitionEpoch]bool
-	// avoidUntil holds until when a primary does not choose a backup.
+	// avoidUntil holds the time until which a primary does not choose a failed backup again.
 	avoidUntil map[routerPair]time.Duration
-	// cutOffMoves holds the moves away from routers that were cut off, by partition.
+	// cutOffMoves holds the last move of each partition away from a cut-off router.
 	cutOffMoves map[int]cutOffMove
-	// primaryStarts holds the beginnings of the partitions' primaries.
+	// primaryStarts holds, by partition, when its primary took over.
 	primaryStarts map[int]primaryStart
 }
 
-// routerPair names a primary and a backup process, so that a restarted backup
-// is chosen at once.
+// routerPair identifies a primary and a backup process. The session is part of it so
+// that a restarted backup can be chosen at once.
 type routerPair struct {
 	primary state.RouterID
 	backup  state.RouterID
 	session state.SessionNumber
 }
 
-// routerStatus is what the leader knows of one router.
+// routerStatus is what the leader knows about one router.
 type routerStatus struct {
 	// process is the process that pinged last.
 	process  state.Router
 	lastPing time.Duration
 	report   Report
-	// session is the last one that renewedAt belongs to.
+	// session is the session to which renewedAt belongs.
 	session state.SessionNumber
-	// renewedAt is the newest moment from which a lease may count.
+	// renewedAt is the latest time from which a lease may count.
 	renewedAt time.Duration
-	// closing is the session whose end is proposed; it gets no lease again.
+	// closing is the session whose end was proposed; it gets no further lease.
 	closing state.SessionNumber
-	// unreachableSince holds since when the router reports others as unreachable.
+	// unreachableSince holds since when this router reports others as unreachable.
 	unreachableSince map[state.RouterID]time.Duration
-	// cutOffSince is since when most others do not meet the router, zero while
-	// they do; cutOffSeen is when they did not last.
+	// cutOffSince is since when the router is disconnected from most others, zero while
+	// it is not; lastCutOff is when it last was.
 	cutOffSince time.Duration
 	lastCutOff  time.Duration
-	// leaseEnd is the end of the lease of the newest session, previousEnding that of
-	// the one before.
+	// leaseEnd is the end of the lease of the newest session, previousLeaseEnd that of
+	// the session before.
 	leaseEnd         leaseEnding
 	previousLeaseEnd leaseEnding
 }
 
-// NewPlacement returns a Placement that does not lead yet.
+// NewPlacement returns a Placement for a controller that does not lead yet.
 func NewPlacement(settings PlacementSettings) *Placement {
 	placement := &Placement{settings: settings}
 	placement.Lead(0)
 	return placement
 }
 
-// Lead begins a term of leadership. Leases that earlier leaders gave count as
-// renewed at this moment.
+// Lead begins a term of leadership. Leases granted by earlier leaders count as renewed
+// at this time.
 func (p *Placement) Lead(now time.Duration) {
 	p.statuses = make(map[state.RouterID]*routerStatus)
 	p.synced = make(map[PartitionEpoch]bool)
@@ -150,10 +150,10 @@
 	p.firstUsableAt = 0
 }
 
-// HandlePing takes a ping of a router process, which a quorum round followed, and
-// returns the router's session and the length of the lease that its pong
-// grants; both are zero when the process has no open session. The routers are
-// those of the state.
+// HandlePing processes a ping of a router process and returns the router's session and
+// the length of the lease that the pong grants; both are zero if the process has no
+// open session. The caller must have completed a quorum round after receiving the
+// ping. The routers are those of the state.
 func (p *Placement) HandlePing(now time.Duration, process state.Router, report Report, view *state.State) (state.SessionNumber, time.Duration) {
 	status := p.status(process.ID)
 	status.process = process
@@ -185,7 +185,7 @@
 	return status
 }
 
-// noteBackupReports keeps what a primary says of its backups.
+// noteBackupReports records what a primary reports about its backups.
 func (p *Placement) noteBackupReports(now time.Duration, router state.RouterID, report Report, view *state.State) {
 	for _, reported := range report.Synced {
 		if placed, found := view.Partition(reported.Number); found && placed.Primary == router && placed.Epoch == reported.Epoch {
@@ -201,7 +201,7 @@
 	}
 }
 
-// noteFormerReports keeps what a primary says of former copies.
+// noteFormerReports records what a primary reports about former copies.
 func (p *Placement) noteFormerReports(router state.RouterID, report Report, view *state.State) {
 	for _, reported := range report.FailedFormers {
 		if placed, found := view.Partition(reported.Number); found && placed.Primary == router && placed.Epoch == reported.Epoch {
@@ -210,7 +210,7 @@
 	}
 }
 
-// formersSupported reports whether all routers that answer know of former copies.
+// formersSupported reports whether all routers that ping support former copies.
 func (p *Placement) formersSupported(now time.Duration) bool {
 	for _, status := range p.statuses {
 		if status.report.IgnoresFormers && p.pingedRecently(now, status) {
@@ -220,13 +220,12 @@
 	return true
 }
 
-// dropExpiredFailures drops what no longer keeps a backup from being chosen.
+// dropExpiredFailures drops failures after which a backup may be chosen again.
 func (p *Placement) dropExpiredFailures(now time.Duration) {
 	maps.DeleteFunc(p.avoidUntil, func(_ routerPair, until time.Duration) bool { return now >= until })
 }
 
-// Tick returns the commands that are due, given the wall clock in Unix
-// milliseconds.
+// Tick returns the commands that are due, given a reading of both clocks.
 func (p *Placement) Tick(moment Moment, view *state.State) []state.Command {
 	p.dropExpiredFailures(moment.Now)
 	p.renewAfterSilence(moment.Now)
@@ -246,8 +245,8 @@
 	return commands
 }
 
-// closeSession ends the session of a router whose lease has surely ended, or
-// which promised not to act any more.
+// closeSession closes the session of a router whose lease has certainly ended or that
+// promised never to act as a primary again.
 func (p *Placement) closeSession(now time.Duration, router state.Router, lastCopy bool) (state.Command, bool) {
 	if !router.Session.Open {
 		return state.Command{}, false
@@ -265,8 +264,8 @@
 	return state.Command{CloseRouter: &state.CloseRouter{Router: router.ID, Session: router.Session.Number}}, true
 }
 
-// sessionTimeout is how long after its last lease a session stays open. Longer than
-// until the lease has surely ended is always safe.
+// sessionTimeout returns how long a session stays open after its last renewal. Keeping a
+// session open for longer than leaseTimeout is always safe.
 func (p *Placement) sessionTimeout(status *routerStatus, router state.Router, lastCopy bool) time.Duration {
 	wait := p.settings.leaseTimeout()
 	if status.lastPing == 0 {
@@ -279,17 +278,17 @@
 	return wait
 }
 
-// renewAfterSilence keeps sessions open after this controller was paused, and while
-// no router is heard: then the fault is rather on this side, and no session can
-// be put to better use.
+// renewAfterSilence keeps sessions open after a pause of this controller, and while no
+// router pings: the fault is then more likely on this side, and no other router could
+// take over the roles of a closed session.
 func (p *Placement) renewAfterSilence(now time.Duration) {
 	paused := now-p.lastTick > p.settings.LeaseDuration/pauseDivisor
 	p.lastTick = now
-	heard := false
+	anyPing := false
 	for _, status := range p.statuses {
-		heard = heard || p.pingedRecently(now, status)
+		anyPing = anyPing || p.pingedRecently(now, status)
 	}
-	if heard && !paused {
+	if anyPing && !paused {
 		return
 	}
 	for _, status := range p.statuses {
@@ -297,8 +296,8 @@
 	}
 }
 
-// lastCopies returns the routers that hold the records of a partition of which
-// no other router that answers holds them all.
+// lastCopies returns the routers that hold all records of a partition while no other
+// live router does.
 func (p *Placement) lastCopies(now time.Duration, view *state.State) map[state.RouterID]bool {
 	last := make(map[state.RouterID]bool)
 	for _, placed := range view.Partitions() {
@@ -318,7 +317,7 @@
 	return last
 }
 
-// isLive reports whether the process of a session answers.
+// isLive reports whether the router process with the given session pings.
 func (p *Placement) isLive(now time.Duration, view *state.State, id state.RouterID, session state.SessionNumber) bool {
 	registered, found := view.Router(id)
 	if !found || !registered.Session.Open || registered.Session.Number != session {
@@ -350,7 +349,7 @@
 	return commands
 }
 
-// pingedRecently reports whether the router's process pinged lately.
+// pingedRecently reports whether the router pinged within the last lease duration.
 func (p *Placement) pingedRecently(now time.Duration, status *routerStatus) bool {
 	return status.lastPing > 0 && now-status.lastPing < p.settings.LeaseDuration
 }
