--- a/internal/router/records/ask.go
+++ b/internal/router/records/ask.go
@@ -9,29 +9,29 @@
 	"github.com/thorntiller/thorntiller/internal/wire"
 )
 
-// Claim asks the key's primary for the right to run a request. It returns true
-// when the claim may have been taken although no answer says so: then it must
-// be claimed again, or given up by a completion.
+// Claim asks the key's primary for the right to run a request. It also returns true if
+// the claim may have been recorded although no answer says so. The caller must then
+// claim again or release the claim by a completion.
 func (s *Service) Claim(ctx context.Context, claim record.Claim) (message.RecordAnswer, bool) {
-	answer, err := s.ask(ctx, claim.Key, message.RecordCall{Claim: &claim})
+	answer, err := s.callPrimary(ctx, claim.Key, message.RecordCall{Claim: &claim})
 	if err != nil {
 		return message.RecordAnswer{Verdict: record.NotPrimary}, !errors.Is(err, wire.ErrNotSent)
 	}
 	return answer, answer.Verdict == record.NotStored
 }
 
-// Complete tells the key's primary how an attempt ended. It returns false when
-// it must be sent again.
+// Complete reports to the key's primary how an attempt ended. It returns false if the
+// completion must be resent.
 func (s *Service) Complete(ctx context.Context, completion record.Completion) bool {
-	answer, err := s.ask(ctx, completion.Claim.Key, message.RecordCall{Completion: &completion})
+	answer, err := s.callPrimary(ctx, completion.Claim.Key, message.RecordCall{Completion: &completion})
 	if err != nil {
 		return false
 	}
 	return answer.Verdict != record.NotPrimary && answer.Verdict != record.NotStored
 }
 
-// ask sends a call to the key's primary, which may be this router.
-func (s *Service) ask(ctx context.Context, key record.Key, call message.RecordCall) (message.RecordAnswer, error) {
+// callPrimary sends a call to the key's primary, which may be this router.
+func (s *Service) callPrimary(ctx context.Context, key record.Key, call message.RecordCall) (message.RecordAnswer, error) {
 	notPrimary := message.RecordAnswer{Verdict: record.NotPrimary}
 	view := s.options.View()
 	if view.Partitions() == 0 {
--- a/internal/router/records/leave.go
+++ b/internal/router/records/leave.go
@@ -7,11 +7,11 @@
 	"github.com/thorntiller/thorntiller/internal/table"
 )
 
-// leavePoll is the time between two looks at whether all partitions moved.
+// leavePoll is the interval for checking whether all partitions have moved.
 const leavePoll = 10 * time.Millisecond
 
-// Leave asks the controllers to move this router's partitions away. The router
-// serves on meanwhile.
+// Leave asks the controllers to move this router's partitions away. The router continues
+// to serve until they have moved.
 func (s *Service) Leave() {
 	s.mutex.Lock()
 	s.leaving = true
@@ -19,13 +19,13 @@
 	signal(s.reportDue)
 }
 
-// Stop waits until the partitions have moved, or the context ends, or there is
-// no other router to take them. Then it promises the controllers to act as a
-// primary no longer, and waits until they know.
+// Stop waits until the partitions have moved, the context ends, or there is no other
+// router to take them. It then promises the controllers never to act as a primary
+// again, and waits until a pong confirms that they know or the context ends.
 func (s *Service) Stop(ctx context.Context) {
 	ticker := time.NewTicker(leavePoll)
 	defer ticker.Stop()
-	for s.placedHere() && ctx.Err() == nil {
+	for s.isNeeded() && ctx.Err() == nil {
 		select {
 		case <-ctx.Done():
 		case <-ticker.C:
@@ -37,17 +37,17 @@
 	s.mutex.Unlock()
 	signal(s.reportDue)
 	select {
-	case <-s.farewell:
+	case <-s.stopAcknowledged:
 	case <-ctx.Done():
 	}
 }
 
-// placedHere reports whether a partition still needs this router, as its primary or
-// for its former copy, and another router could take it.
-func (s *Service) placedHere() bool {
+// isNeeded reports whether a partition still needs this router, as its primary or for its
+// former copy, and another router could take it.
+func (s *Service) isNeeded() bool {
 	view := s.options.View()
 	session := s.openSession(view)
-	if session == 0 || !othersOpen(view) {
+	if session == 0 || !otherRoutersOpen(view) {
 		return false
 	}
 	for number := range view.Partitions() {
@@ -64,7 +64,7 @@
 	return false
 }
 
-func othersOpen(view *table.Table) bool {
+func otherRoutersOpen(view *table.Table) bool {
 	const self = 1
 	return view.OpenRouters() > self
 }
--- a/internal/router/records/peers.go
+++ b/internal/router/records/peers.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	// clientIdle is shorter than serverIdle, so that the calling side closes an
-	// idle connection and no call meets a closed one.
+	// clientIdle is shorter than serverIdle, so that the calling side closes idle
+	// connections and no call is sent on a connection that the server has closed.
 	clientIdle = 20 * time.Second
 	serverIdle = 60 * time.Second
-	// callsPerConnection bounds the calls of one router that run here.
+	// callsPerConnection is the maximum number of concurrent calls on one router's connection.
 	callsPerConnection = 1024
-	// peerConnections bounds the connections of other routers.
+	// peerConnections is the maximum number of connections from other routers.
 	peerConnections = 4096
 )
 
-// purpose separates claims, which wait for stores, from stores, which wait for
-// nothing, so that neither blocks the other on a connection.
+// purpose separates claims, which wait for stores, from stores, which wait for nothing, so
+// that neither blocks the other on a connection.
 type purpose int
 
 const (
@@ -39,7 +39,7 @@
 	purpose purpose
 }
 
-// peers holds the clients to other routers.
+// peers holds the clients for calls to other routers.
 type peers struct {
 	service *Service
 
@@ -52,8 +52,8 @@
 	return &peers{service: service, clients: make(map[peerKey]*wire.Client)}
 }
 
-// client returns the client to a router, made at first use and whenever the
-// router's address changed.
+// client returns the client for a router. It creates one at first use and whenever the
+// router's address has changed.
 func (p *peers) client(router *state.Router, use purpose) (*wire.Client, error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -88,14 +88,14 @@
 	}
 }
 
-// serve accepts connections of other routers until the context ends.
+// serve accepts connections from other routers until the context ends.
 func (p *peers) serve(ctx context.Context, listener net.Listener) error {
 	server := wire.Server{MaxConnections: peerConnections, Panicked: telemetry.PanicLogger(p.service.options.Log), Options: wire.Options{
 		WriteTimeout: p.service.options.Settings.PeerTimeout, IdleTimeout: serverIdle,
 	}}
 	return server.Serve(ctx, listener, func(ctx context.Context, connection *wire.Conn) {
 		if err := p.servePeer(ctx, connection); err != nil {
-			p.service.options.Log.WithError(err).Debug("connection of another router ended")
+			p.service.options.Log.WithError(err).Debug("connection from another router ended")
 		}
 	})
 }
@@ -106,10 +106,10 @@
 		return err
 	}
 	if name, secured := connection.PeerName(); secured && name != hello.From {
-		return eris.Errorf("the peer says that it is %q, its certificate says %q", hello.From, name)
+		return eris.Errorf("peer identifies itself as %q, but its certificate names %q", hello.From, name)
 	}
 	if hello.Purpose != message.PurposeRouter {
-		return eris.Errorf("purpose %q is not served by routers", hello.Purpose)
+		return eris.Errorf("routers do not serve connections with purpose %q", hello.Purpose)
 	}
 	if own := p.service.options.View().Cluster(); hello.Cluster != own {
 		return eris.Errorf("router %q belongs to cluster %q, not %q", hello.From, hello.Cluster, own)
--- a/internal/router/records/primary.go
+++ b/internal/router/records/primary.go
@@ -12,13 +12,13 @@
 	"github.com/thorntiller/thorntiller/internal/wire"
 )
 
-// storeAttempts is how often a store is tried on a connection that broke.
+// storeAttempts is the number of attempts to store records if the connection breaks.
 const storeAttempts = 2
 
-// errNoSuchRouter: the table does not name the router in the wanted session.
-var errNoSuchRouter = errors.New("the routing table does not name the router")
+// errNoSuchRouter is returned if the table does not list the router with the expected session.
+var errNoSuchRouter = errors.New("routing table does not list the router with the expected session")
 
-// handle answers a call of another router, or of this one.
+// handle answers a call from another router or from this one.
 func (s *Service) handle(_ context.Context, call *message.RecordCall) *message.RecordAnswer {
 	target := s.partition(call.Partition)
 	switch {
@@ -35,60 +35,60 @@
 	}
 }
 
-// claim serves a claim as the primary.
-func (s *Service) claim(target *held, claim record.Claim) *message.RecordAnswer {
+// claim handles a claim as the primary.
+func (s *Service) claim(target *localPartition, claim record.Claim) *message.RecordAnswer {
 	target.mutex.Lock()
 	placed := target.core.Placed()
-	verdict, known := target.core.Claim(s.moment(), s.leaseOf(placed.PrimarySession), claim, s.open)
+	verdict, stored := target.core.Claim(s.moment(), s.leaseEndOf(placed.PrimarySession), claim, s.sessionMayBeOpen)
 	target.mutex.Unlock()
 	switch verdict {
 	case record.Granted:
-		return s.replicate(target, placed, known, record.Granted)
+		return s.replicate(target, placed, stored, record.Granted)
 	case record.AnswerKept:
-		return &message.RecordAnswer{Verdict: verdict, Answer: known.Answer}
+		return &message.RecordAnswer{Verdict: verdict, Answer: stored.Answer}
 	default:
 		return &message.RecordAnswer{Verdict: verdict}
 	}
 }
 
-// complete serves a completion as the primary.
-func (s *Service) complete(target *held, completion record.Completion) *message.RecordAnswer {
+// complete handles a completion as the primary.
+func (s *Service) complete(target *localPartition, completion record.Completion) *message.RecordAnswer {
 	target.mutex.Lock()
 	placed := target.core.Placed()
-	verdict, known := target.core.Complete(s.moment(), s.leaseOf(placed.PrimarySession), completion)
+	verdict, stored := target.core.Complete(s.moment(), s.leaseEndOf(placed.PrimarySession), completion)
 	target.mutex.Unlock()
 	if verdict != record.Stored {
 		return &message.RecordAnswer{Verdict: verdict}
 	}
-	return s.replicate(target, placed, known, record.Stored)
+	return s.replicate(target, placed, stored, record.Stored)
 }
 
-// replicate stores a record on each copy and then checks that this router is
-// still the primary at the same epoch and under its lease.
-func (s *Service) replicate(target *held, placed state.RecordPartition, changed record.Record, verdict record.Verdict) *message.RecordAnswer {
-	for _, copyOf := range copiesOf(placed) {
-		if !s.storeOn(target, placed, copyOf, []record.Record{changed}) {
+// replicate stores a record on each copy and then checks that this router is still the
+// primary at the same epoch with a valid lease.
+func (s *Service) replicate(target *localPartition, placed state.RecordPartition, changed record.Record, verdict record.Verdict) *message.RecordAnswer {
+	for _, receiver := range copiesOf(placed) {
+		if !s.storeOn(target, placed, receiver, []record.Record{changed}) {
 			return &message.RecordAnswer{Verdict: record.NotStored}
 		}
 	}
 	target.mutex.Lock()
 	defer target.mutex.Unlock()
-	if !target.core.Confirm(s.moment(), s.leaseOf(placed.PrimarySession), placed.Epoch) {
+	if !target.core.Confirm(s.moment(), s.leaseEndOf(placed.PrimarySession), placed.Epoch) {
 		return &message.RecordAnswer{Verdict: record.NotStored}
 	}
 	return &message.RecordAnswer{Verdict: verdict}
 }
 
-// replica is one copy of a partition beside that of the primary.
+// replica is a copy of a partition on a router other than the primary.
 type replica struct {
 	router  state.RouterID
 	session state.SessionNumber
-	// formerEpoch is the epoch since which it holds every record as the former copy; zero for a
-	// backup.
+	// formerEpoch is the epoch since which the former copy has held every record; zero for
+	// a backup.
 	formerEpoch state.Epoch
 }
 
-// copiesOf returns the copies that each change is stored on: the whole one first.
+// copiesOf returns the copies that must store each change: the former copy, which is complete, first.
 func copiesOf(placed state.RecordPartition) []replica {
 	var copies []replica
 	if placed.Former != "" {
@@ -100,7 +100,7 @@
 	return copies
 }
 
-// backupOf returns the backup of a partition, which may be the former copy as well.
+// backupOf returns the backup of a partition, which may also be the former copy.
 func backupOf(placed state.RecordPartition) replica {
 	backup := replica{router: placed.Backup, session: placed.BackupSession}
 	if placed.Backup == placed.Former {
@@ -109,9 +109,9 @@
 	return backup
 }
 
-// storeOn sends records to a copy and reports whether it has them. One that does
-// not answer is reported to the controllers and not asked again at this epoch.
-func (s *Service) storeOn(target *held, placed state.RecordPartition, receiver replica, records []record.Record) bool {
+// storeOn sends records to a copy and reports whether it holds them. A copy that does not
+// answer is reported to the controllers and not asked again at this epoch.
+func (s *Service) storeOn(target *localPartition, placed state.RecordPartition, receiver replica, records []record.Record) bool {
 	if target.hasFailed(placed, receiver) {
 		return false
 	}
@@ -119,43 +119,43 @@
 	if err == nil {
 		return answer.Stored
 	}
-	if s.lifetime.Err() != nil || errors.Is(err, errNoSuchRouter) {
+	if s.runContext.Err() != nil || errors.Is(err, errNoSuchRouter) {
 		return false
 	}
-	first := target.noteFailed(placed, receiver, s.options.Clock.Now())
+	isNew := target.noteFailed(placed, receiver, s.options.Clock.Now())
 	signal(s.reportDue)
-	if first {
+	if isNew {
 		telemetry.WithError(s.options.Log, telemetry.EventBackupLost, err).
-			WithField("partition", placed.Number).WithField("router", receiver.router).Warn("a copy of the partition does not answer")
+			WithField("partition", placed.Number).WithField("router", receiver.router).Warn("a copy of the record partition does not answer")
 	}
 	return false
 }
 
-func (h *held) hasFailed(placed state.RecordPartition, receiver replica) bool {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	return receiver.router == placed.Backup && h.failed == placed.Epoch || receiver.formerEpoch > 0 && h.failedFormer == placed.Epoch
+func (p *localPartition) hasFailed(placed state.RecordPartition, receiver replica) bool {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	return receiver.router == placed.Backup && p.failed == placed.Epoch || receiver.formerEpoch > 0 && p.failedFormer == placed.Epoch
 }
 
-// noteFailed notes a copy that does not answer, and reports whether that is news.
-func (h *held) noteFailed(placed state.RecordPartition, receiver replica, now time.Duration) bool {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	if h.core.Epoch() != placed.Epoch {
+// noteFailed records that a copy does not answer and reports whether this was not known before.
+func (p *localPartition) noteFailed(placed state.RecordPartition, receiver replica, now time.Duration) bool {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	if p.core.Epoch() != placed.Epoch {
 		return false
 	}
-	first := false
-	if receiver.router == placed.Backup && h.failed != placed.Epoch {
-		h.failed, h.failedAt, first = placed.Epoch, now, true
+	isNew := false
+	if receiver.router == placed.Backup && p.failed != placed.Epoch {
+		p.failed, p.failedAt, isNew = placed.Epoch, now, true
 	}
-	if receiver.formerEpoch > 0 && h.failedFormer != placed.Epoch {
-		h.failedFormer, h.formerFailedAt, first = placed.Epoch, now, true
+	if receiver.formerEpoch > 0 && p.failedFormer != placed.Epoch {
+		p.failedFormer, p.formerFailedAt, isNew = placed.Epoch, now, true
 	}
-	return first
+	return isNew
 }
 
-// callReplica sends records to a copy. Storing is idempotent, so that it is
-// sent again after a broken connection.
+// callReplica sends records to a copy. Storing is idempotent, so the call is resent after
+// a broken connection.
 func (s *Service) callReplica(placed state.RecordPartition, receiver replica, records []record.Record) (message.RecordAnswer, error) {
 	var answer message.RecordAnswer
 	router, found := s.options.View().Router(receiver.router)
@@ -165,7 +165,7 @@
 	call := &message.RecordCall{Partition: placed.Number, Store: &message.RecordStore{
 		Epoch: placed.Epoch, Former: receiver.formerEpoch, Incarnation: router.Session.Incarnation, Records: records,
 	}}
-	ctx, cancel := context.WithTimeout(s.lifetime, s.options.Settings.PeerTimeout)
+	ctx, cancel := context.WithTimeout(s.runContext, s.options.Settings.PeerTimeout)
 	defer cancel()
 	client, err := s.peers.client(router, purposeStore)
 	for range storeAttempts {
@@ -180,8 +180,8 @@
 	return answer, err
 }
 
-// store serves a primary's records as the backup.
-func (s *Service) store(target *held, call *message.RecordStore) bool {
+// store handles records from a primary as the backup.
+func (s *Service) store(target *localPartition, call *message.RecordStore) bool {
 	if call.Incarnation != s.options.Self.Session.Incarnation {
 		return false
 	}
--- a/internal/router/records/probe.go
+++ b/internal/router/records/probe.go
@@ -15,24 +15,24 @@
 	"github.com/thorntiller/thorntiller/internal/telemetry"
 )
 
-// prober finds out which other routers this one reaches. It is safe for
-// concurrent use.
+// prober detects which other routers this one can reach. It is safe for concurrent
+// use.
 type prober struct {
 	service *Service
 
 	mutex sync.Mutex
 	reach *record.Reachability
-	// asked holds the routers whose answer is awaited.
-	asked map[state.RouterID]bool
-	// told is what the controllers were told last.
-	told []state.RouterID
+	// inFlight holds the routers with an unanswered probe.
+	inFlight map[state.RouterID]bool
+	// lastReported is the last list of unreachable routers that was logged and announced.
+	lastReported []state.RouterID
 }
 
 func newProber(service *Service) *prober {
-	return &prober{service: service, reach: record.NewReachability(), asked: make(map[state.RouterID]bool)}
+	return &prober{service: service, reach: record.NewReachability(), inFlight: make(map[state.RouterID]bool)}
 }
 
-// run probes until the context ends.
+// run sends probes until the context ends.
 func (p *prober) run(ctx context.Context) {
 	var group conc.WaitGroup
 	defer group.Wait()
@@ -40,27 +40,27 @@
 		for _, router := range p.due() {
 			group.Go(func() { p.probe(ctx, router) })
 		}
-		p.tell()
+		p.reportChanges()
 	})
 }
 
-// due returns the routers that are to be probed now.
+// due returns the routers to probe now.
 func (p *prober) due() []state.RouterID {
-	wanted := probed(p.service.options.View(), p.service.options.Self.ID)
+	targets := probeTargets(p.service.options.View(), p.service.options.Self.ID)
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	var due []state.RouterID
-	for _, router := range p.reach.BeginRound(p.service.options.Clock.Now(), wanted) {
-		if !p.asked[router] {
-			p.asked[router] = true
+	for _, router := range p.reach.BeginRound(p.service.options.Clock.Now(), targets) {
+		if !p.inFlight[router] {
+			p.inFlight[router] = true
 			due = append(due, router)
 		}
 	}
 	return due
 }
 
-// probed returns the other routers with a role in a partition, primaries first.
-func probed(view *table.Table, self state.RouterID) []state.RouterID {
+// probeTargets returns the other routers with a role in a partition, primaries first.
+func probeTargets(view *table.Table, self state.RouterID) []state.RouterID {
 	var primaries, backups []state.RouterID
 	for number := range view.Partitions() {
 		if placed, found := view.Partition(number); found {
@@ -68,28 +68,28 @@
 			backups = append(backups, placed.Backup)
 		}
 	}
-	var wanted []state.RouterID
+	var targets []state.RouterID
 	for _, router := range append(primaries, backups...) {
-		if router != "" && router != self && !slices.Contains(wanted, router) {
-			wanted = append(wanted, router)
+		if router != "" && router != self && !slices.Contains(targets, router) {
+			targets = append(targets, router)
 		}
 	}
-	return wanted
+	return targets
 }
 
-// probe asks one router by the connection that claims take.
+// probe probes one router over the connection that also carries claims.
 func (p *prober) probe(ctx context.Context, id state.RouterID) {
 	sent := p.service.options.Clock.Now()
-	answered := p.ask(ctx, id)
+	answered := p.sendProbe(ctx, id)
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	delete(p.asked, id)
+	delete(p.inFlight, id)
 	if answered {
 		p.reach.MarkAnswered(id, sent)
 	}
 }
 
-func (p *prober) ask(ctx context.Context, id state.RouterID) bool {
+func (p *prober) sendProbe(ctx context.Context, id state.RouterID) bool {
 	router, found := p.service.options.View().Router(id)
 	if !found {
 		return false
@@ -104,38 +104,38 @@
 	return client.Call(ctx, &message.RecordCall{Probe: true}, &answer) == nil
 }
 
-// tell lets the controllers know soon, and people, when what is reached changed.
-func (p *prober) tell() {
+// reportChanges logs changes of the unreachable routers and requests a ping to the controllers.
+func (p *prober) reportChanges() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	silent := p.reach.Unreachable(p.service.options.Clock.Now())
-	if slices.Equal(silent, p.told) {
+	unreachable := p.reach.Unreachable(p.service.options.Clock.Now())
+	if slices.Equal(unreachable, p.lastReported) {
 		return
 	}
 	log := p.service.options.Log
-	for _, router := range silent {
-		if !slices.Contains(p.told, router) {
-			telemetry.With(log, telemetry.EventPeerUnreachable).WithField("router", router).Warn("another router does not answer")
+	for _, router := range unreachable {
+		if !slices.Contains(p.lastReported, router) {
+			telemetry.With(log, telemetry.EventPeerUnreachable).WithField("router", router).Warn("another router does not answer probes")
 		}
 	}
-	for _, router := range p.told {
-		if !slices.Contains(silent, router) {
-			telemetry.With(log, telemetry.EventPeerReached).WithField("router", router).Info("another router is probed no more, or answers again")
+	for _, router := range p.lastReported {
+		if !slices.Contains(unreachable, router) {
+			telemetry.With(log, telemetry.EventPeerReached).WithField("router", router).Info("another router answers probes again, or is no longer probed")
 		}
 	}
-	p.told = silent
+	p.lastReported = unreachable
 	signal(p.service.reportDue)
 }
 
-// unreachable returns the routers that do not answer.
+// unreachable returns the routers that do not answer probes.
 func (p *prober) unreachable() []state.RouterID {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.reach.Unreachable(p.service.options.Clock.Now())
 }
 
-// alone reports whether no router answers, of several.
-func (p *prober) alone() bool {
+// isolated reports whether this router probes several others and none answers.
+func (p *prober) isolated() bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.reach.Isolated(p.service.options.Clock.Now())
--- a/internal/router/records/service.go
+++ b/internal/router/records/service.go
@@ -17,16 +17,16 @@
 	"github.com/thorntiller/thorntiller/internal/wire"
 )
 
-// partitionAnswerBytes bounds the kept answers of one partition.
+// partitionAnswerBytes is the maximum total size of the answers kept in one partition.
 const partitionAnswerBytes = 32 << 20
 
-// failedHold is how long a router that no other answers keeps to itself that a
-// backup failed: the fault is rather its own, and the backup may take over.
-const failedHold = time.Second
+// failureReportDelay is how long a router that no other router answers delays reporting
+// a failed backup: the fault is more likely its own, and the backup may take over.
+const failureReportDelay = time.Second
 
-// Options are what a Service needs.
+// Options are the dependencies and settings of a Service.
 type Options struct {
-	// Self is the router, with its incarnation.
+	// Self is this router, with its incarnation.
 	Self     state.Router
 	Settings config.Records
 	Clock    clock.Clock
@@ -43,58 +43,58 @@
 	options Options
 	peers   *peers
 	prober  *prober
-	// reportDue gets a token when the controllers should hear something soon.
+	// reportDue receives a token when a ping should be sent to the controllers soon.
 	reportDue chan struct{}
-	// syncDue gets a token when a transfer to a backup may be due.
+	// syncDue receives a token when a transfer to a backup may be due.
 	syncDue chan struct{}
-	// lifetime ends with Run; calls to backups depend on it alone.
-	lifetime context.Context
-	end      context.CancelFunc
+	// runContext is canceled when Run ends; calls to backups depend on it alone.
+	runContext context.Context
+	cancelRun  context.CancelFunc
 
 	mutex      sync.RWMutex
-	partitions []*held
-	// session is the router's open session by the table, zero for none.
+	partitions []*localPartition
+	// session is the router's open session according to the table, zero for none.
 	session state.SessionNumber
-	// follows is the revision of the table that every partition follows.
-	follows state.Revision
-	// leaseSession and leaseEnd are of the newest lease.
-	leaseSession state.SessionNumber
-	leaseEnd     time.Duration
-	leaving      bool
-	stoppedAt    time.Duration
-	stopped      bool
-	farewell     chan struct{}
+	// followedRevision is the revision of the table that every partition has applied.
+	followedRevision state.Revision
+	// leaseSession and leaseEnd belong to the newest lease.
+	leaseSession     state.SessionNumber
+	leaseEnd         time.Duration
+	leaving          bool
+	stoppedAt        time.Duration
+	stopped          bool
+	stopAcknowledged chan struct{}
 }
 
-// held is one partition with its lock.
-type held struct {
+// localPartition is this router's copy of a partition with its lock.
+type localPartition struct {
 	number int
 	mutex  sync.Mutex
 	core   *record.Partition
-	// synced is the epoch at which the backup got every record.
+	// synced is the epoch at which the backup received every record.
 	synced state.Epoch
-	// failed is the epoch at which the backup did not answer.
+	// failed is the epoch at which the backup failed to answer.
 	failed state.Epoch
-	// failedAt is when that was found out.
+	// failedAt is when this failure was detected.
 	failedAt time.Duration
-	// failedFormer is the epoch at which the former copy did not answer, found out at formerFailedAt.
+	// failedFormer is the epoch at which the former copy failed to answer, detected at formerFailedAt.
 	failedFormer   state.Epoch
 	formerFailedAt time.Duration
 }
 
-// New returns a Service that holds nothing yet.
+// New returns a Service without any partitions.
 func New(options Options) *Service {
 	service := &Service{
 		options: options, reportDue: make(chan struct{}, 1), syncDue: make(chan struct{}, 1),
-		farewell: make(chan struct{}),
+		stopAcknowledged: make(chan struct{}),
 	}
-	service.lifetime, service.end = context.WithCancel(context.Background())
+	service.runContext, service.cancelRun = context.WithCancel(context.Background())
 	service.peers = newPeers(service)
 	service.prober = newProber(service)
 	return service
 }
 
-// moment reads both clocks.
+// moment returns a reading of both clocks.
 func (s *Service) moment() record.Moment {
 	return record.Moment{Now: s.options.Clock.Now(), UnixMs: time.Now().UnixMilli()}
 }
@@ -106,26 +106,26 @@
 	return s.session
 }
 
-// TableChanged takes over the placement from a new version of the table. Calls
-// must follow each other in the order of the versions.
+// TableChanged applies the placements of a new version of the table. Calls must be made
+// in the order of the versions.
 func (s *Service) TableChanged() {
 	view := s.options.View()
 	session := s.openSession(view)
 	s.mutex.Lock()
 	s.session = session
 	for number := len(s.partitions); number < view.Partitions(); number++ {
-		s.partitions = append(s.partitions, &held{number: number, core: s.newPartition()})
+		s.partitions = append(s.partitions, &localPartition{number: number, core: s.newPartition()})
 	}
 	partitions := s.partitions
 	s.mutex.Unlock()
-	for _, each := range partitions {
-		placed, found := view.Partition(each.number)
+	for _, local := range partitions {
+		placed, found := view.Partition(local.number)
 		if found {
-			s.place(each, *placed, session)
+			s.place(local, *placed, session)
 		}
 	}
 	s.mutex.Lock()
-	s.follows = view.Revision()
+	s.followedRevision = view.Revision()
 	s.mutex.Unlock()
 	signal(s.syncDue)
 }
@@ -145,25 +145,25 @@
 	return self.Session.Number
 }
 
-func (s *Service) place(each *held, placed state.RecordPartition, session state.SessionNumber) {
-	each.mutex.Lock()
-	defer each.mutex.Unlock()
-	before := each.core.Role()
-	if !each.core.Place(placed, session) {
+func (s *Service) place(local *localPartition, placed state.RecordPartition, session state.SessionNumber) {
+	local.mutex.Lock()
+	defer local.mutex.Unlock()
+	before := local.core.Role()
+	if !local.core.Place(placed, session) {
 		return
 	}
-	after := each.core.Role()
-	log := s.options.Log.WithField("partition", each.number).WithField("epoch", placed.Epoch)
+	after := local.core.Role()
+	log := s.options.Log.WithField("partition", local.number).WithField("epoch", placed.Epoch)
 	if after == record.RolePrimary && before != record.RolePrimary {
-		telemetry.With(log, telemetry.EventPrimaryBegan).Info("primary of a record partition")
+		telemetry.With(log, telemetry.EventPrimaryBegan).Info("became primary of a record partition")
 	}
 	if before == record.RolePrimary && after != record.RolePrimary {
 		telemetry.With(log, telemetry.EventPrimaryEnded).Info("no longer primary of a record partition")
 	}
 }
 
-// partition returns one partition, or nil while the table has none such.
-func (s *Service) partition(number int) *held {
+// partition returns the partition with this number, or nil if the table does not have it.
+func (s *Service) partition(number int) *localPartition {
 	s.mutex.RLock()
 	defer s.mutex.RUnlock()
 	if number < 0 || number >= len(s.partitions) {
@@ -172,19 +172,19 @@
 	return s.partitions[number]
 }
 
-func (s *Service) all() []*held {
+func (s *Service) allPartitions() []*localPartition {
 	s.mutex.RLock()
 	defer s.mutex.RUnlock()
 	return s.partitions
 }
 
-// Renew takes the lease in a pong.
+// Renew processes the lease in a pong.
 func (s *Service) Renew(pong message.Pong) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.stopped {
 		if time.Duration(pong.SentNs) >= s.stoppedAt {
-			s.sayFarewell()
+			s.acknowledgeStop()
 		}
 		return
 	}
@@ -199,17 +199,17 @@
 	s.leaseEnd = max(s.leaseEnd, end)
 }
 
-func (s *Service) sayFarewell() {
+func (s *Service) acknowledgeStop() {
 	select {
-	case <-s.farewell:
+	case <-s.stopAcknowledged:
 	default:
-		close(s.farewell)
+		close(s.stopAcknowledged)
 	}
 }
 
-// leaseOf returns when the lease of the router's session ends, zero when it has
-// none. A lease of another session says nothing about partitions of this one.
-func (s *Service) leaseOf(session state.SessionNumber) time.Duration {
+// leaseEndOf returns when the lease of the given session ends, zero if there is none. A
+// lease of another session says nothing about partitions placed in this one.
+func (s *Service) leaseEndOf(session state.SessionNumber) time.Duration {
 	s.mutex.RLock()
 	defer s.mutex.RUnlock()
 	if s.stopped || session != s.leaseSession {
@@ -218,9 +218,9 @@
 	return s.leaseEnd
 }
 
-// open reports whether a router's session may still be open. The table may lag,
-// so a session that it does not know yet counts as open.
-func (s *Service) open(router state.RouterID, session state.SessionNumber) bool {
+// sessionMayBeOpen reports whether a router's session may still be open. The table may lag,
+// so a session that it does not list yet counts as open.
+func (s *Service) sessionMayBeOpen(router state.RouterID, session state.SessionNumber) bool {
 	known, found := s.options.View().Router(router)
 	if !found || known.Session.Number < session {
 		return true
@@ -228,59 +228,59 @@
 	return known.Session.Number == session && known.Session.Open
 }
 
-// ReportDue gets a token when a ping should go out soon.
+// ReportDue returns the channel that receives a token when a ping should be sent soon.
 func (s *Service) ReportDue() <-chan struct{} { return s.reportDue }
 
-// Report adds to a ping what the controllers should know. The ping's SentNs
-// must have been read before.
+// Report adds this router's status to a ping. The ping's SentNs must have been read
+// before.
 func (s *Service) Report(ping *message.Ping) {
 	s.mutex.RLock()
 	ping.Leaving = s.leaving
 	ping.Stopped = s.stopped
-	// A table is in force once the partitions follow it too.
-	ping.Revision = min(ping.Revision, s.follows)
+	// A table is in force only once the partitions follow it as well.
+	ping.Revision = min(ping.Revision, s.followedRevision)
 	s.mutex.RUnlock()
 	ping.KeepsFormers = true
 	ping.Unreachable = s.prober.unreachable()
 	failedBefore := s.options.Clock.Now()
-	if s.prober.alone() {
-		failedBefore -= failedHold
+	if s.prober.isolated() {
+		failedBefore -= failureReportDelay
 	}
-	for _, each := range s.all() {
-		each.report(ping, failedBefore)
+	for _, local := range s.allPartitions() {
+		local.report(ping, failedBefore)
 	}
 }
 
-// report tells of a failed copy only if that was found out before a time.
-func (h *held) report(ping *message.Ping, failedBefore time.Duration) {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	if h.core.Role() != record.RolePrimary {
+// report adds the partition's status to a ping, and its failed copies if they failed by failedBefore.
+func (p *localPartition) report(ping *message.Ping, failedBefore time.Duration) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	if p.core.Role() != record.RolePrimary {
 		return
 	}
-	epoch := h.core.Epoch()
-	at := message.PartitionSync{Number: h.number, Epoch: epoch}
-	if h.synced == epoch && !h.core.Placed().BackupSynced {
-		ping.SyncedPartitions = append(ping.SyncedPartitions, at)
+	epoch := p.core.Epoch()
+	key := message.PartitionSync{Number: p.number, Epoch: epoch}
+	if p.synced == epoch && !p.core.Placed().BackupSynced {
+		ping.SyncedPartitions = append(ping.SyncedPartitions, key)
 	}
-	if h.failed == epoch && h.failedAt <= failedBefore {
-		ping.FailedBackups = append(ping.FailedBackups, at)
+	if p.failed == epoch && p.failedAt <= failedBefore {
+		ping.FailedBackups = append(ping.FailedBackups, key)
 	}
-	if h.failedFormer == epoch && h.core.Placed().Former != "" && h.formerFailedAt <= failedBefore {
-		ping.FailedFormers = append(ping.FailedFormers, at)
+	if p.failedFormer == epoch && p.core.Placed().Former != "" && p.formerFailedAt <= failedBefore {
+		ping.FailedFormers = append(ping.FailedFormers, key)
 	}
 }
 
-// Records returns how many records this router holds, and of how many
-// partitions it is the primary.
+// Records returns the number of records on this router and the number of partitions of
+// which it is the primary.
 func (s *Service) Records() (records, primaries int) {
-	for _, each := range s.all() {
-		each.mutex.Lock()
-		records += each.core.Len()
-		if each.core.Role() == record.RolePrimary {
+	for _, local := range s.allPartitions() {
+		local.mutex.Lock()
+		records += local.core.Len()
+		if local.core.Role() == record.RolePrimary {
 			primaries++
 		}
-		each.mutex.Unlock()
+		local.mutex.Unlock()
 	}
 	return records, primaries
 }
--- a/internal/router/records/service_test.go
+++ b/internal/router/records/service_test.go
@@ -27,7 +27,7 @@
 	testWait    = 20 * time.Second
 )
 
-// member is one router's service with its table.
+// member is the service of one router with its table.
 type member struct {
 	service *Service
 	builder *table.Builder
@@ -36,8 +36,8 @@
 	ended   conc.WaitGroup
 }
 
-// bench runs services on loopback and plays the leading controller.
-type bench struct {
+// harness runs services over loopback and acts as the leading controller.
+type harness struct {
 	t         testing.TB
 	clock     clock.Clock
 	state     *state.State
@@ -45,33 +45,33 @@
 	placement *record.Placement
 	members   []*member
 	attempts  atomic.Int64
-	cuts      *cuts
+	links     *linkFaults
 }
 
-func newBench(t testing.TB, count int) *bench {
+func newHarness(t testing.TB, count int) *harness {
 	t.Helper()
-	b := &bench{t: t, clock: clock.NewSystem(), state: state.New(), cuts: newCuts(), placement: record.NewPlacement(record.PlacementSettings{
+	h := &harness{t: t, clock: clock.NewSystem(), state: state.New(), links: newLinkFaults(), placement: record.NewPlacement(record.PlacementSettings{
 		Count: 4, LeaseDuration: testLease, ClockRateBound: 0.01, Margin: 10 * time.Millisecond,
 	})}
 	for number := range count {
-		b.members = append(b.members, b.start(state.RouterID(fmt.Sprintf("router-%d", number)), "first"))
+		h.members = append(h.members, h.start(state.RouterID(fmt.Sprintf("router-%d", number)), "first"))
 	}
-	b.await("roles that are shared evenly", b.settled)
-	return b
+	h.await("evenly distributed roles", h.settled)
+	return h
 }
 
 // settled reports whether each router has its share of the roles and every backup holds every
-// record: from then on no role moves for the sake of balance. While one moves there is one whole
-// copy only, and tests of a loss are of two.
-func (b *bench) settled() bool {
+// record. From then on no role moves for balance. While one moves there is only one complete
+// copy, and tests of a loss need two.
+func (h *harness) settled() bool {
 	const most = 1
 	primaries, backups := make(map[state.RouterID]int), make(map[state.RouterID]int)
-	for _, placed := range b.state.Partitions() {
+	for _, placed := range h.state.Partitions() {
 		primaries[placed.Primary]++
 		backups[placed.Backup]++
 	}
-	count, shared := len(b.state.Partitions()), len(b.members)
-	for _, m := range b.members {
+	count, shared := len(h.state.Partitions()), len(h.members)
+	for _, m := range h.members {
 		if primaries[m.self.ID] > count/shared+most || backups[m.self.ID] > count/shared+most {
 			return false
 		}
@@ -79,14 +79,14 @@
 			return false
 		}
 	}
-	return b.synced()
+	return h.synced()
 }
 
-func (b *bench) start(id state.RouterID, incarnation string) *member {
-	b.t.Helper()
+func (h *harness) start(id state.RouterID, incarnation string) *member {
+	h.t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		b.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -95,14 +95,14 @@
 	}}
 	settings := config.DefaultRouter().Records
 	settings.PeerTimeout = 100 * time.Millisecond
-	b.cuts.listens(m.self.PeerAddress, id)
+	h.links.addListener(m.self.PeerAddress, id)
 	m.service = New(Options{
-		Self: m.self, Settings: settings, Clock: b.clock, Log: logrus.NewEntry(log), View: m.builder.Table, Dial: b.cuts.dialer(id),
+		Self: m.self, Settings: settings, Clock: h.clock, Log: logrus.NewEntry(log), View: m.builder.Table, Dial: h.links.dialer(id),
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	m.stop = cancel
 	m.ended.Go(func() { _ = m.service.Run(ctx, listener) })
-	b.t.Cleanup(func() { m.kill() })
+	h.t.Cleanup(func() { m.kill() })
 	return m
 }
 
@@ -111,31 +111,31 @@
 	m.ended.Wait()
 }
 
-func (b *bench) member(id state.RouterID) *member {
-	for _, m := range b.members {
+func (h *harness) member(id state.RouterID) *member {
+	for _, m := range h.members {
 		if m.self.ID == id {
 			return m
 		}
 	}
-	b.t.Fatalf("no member %s", id)
+	h.t.Fatalf("no member %s", id)
 	return nil
 }
 
-func (b *bench) remove(id state.RouterID) *member {
-	for position, m := range b.members {
+func (h *harness) remove(id state.RouterID) *member {
+	for position, m := range h.members {
 		if m.self.ID == id {
-			b.members = append(b.members[:position:position], b.members[position+1:]...)
+			h.members = append(h.members[:position:position], h.members[position+1:]...)
 			return m
 		}
 	}
-	b.t.Fatalf("no member %s", id)
+	h.t.Fatalf("no member %s", id)
 	return nil
 }
 
-// turn does what the leading controller does all the time.
-func (b *bench) turn() {
-	for _, m := range b.members {
-		ping := message.Ping{SentNs: int64(b.clock.Now()), Revision: m.builder.Table().Revision()}
+// tick does what the leading controller does continuously.
+func (h *harness) tick() {
+	for _, m := range h.members {
+		ping := message.Ping{SentNs: int64(h.clock.Now()), Revision: m.builder.Table().Revision()}
 		m.service.Report(&ping)
 		report := record.Report{Leaving: ping.Leaving, Stopped: ping.Stopped, Unreachable: ping.Unreachable, Revision: ping.Revision}
 		for _, each := range ping.SyncedPartitions {
@@ -144,72 +144,72 @@
 		for _, each := range ping.FailedBackups {
 			report.Failed = append(report.Failed, record.PartitionEpoch(each))
 		}
-		session, lease := b.placement.HandlePing(b.clock.Now(), m.self, report, b.state)
+		session, lease := h.placement.HandlePing(h.clock.Now(), m.self, report, h.state)
 		m.service.Renew(message.Pong{SentNs: ping.SentNs, Session: session, LeaseNs: int64(lease)})
 	}
-	moment := record.Moment{Now: b.clock.Now(), UnixMs: time.Now().UnixMilli()}
-	for _, command := range b.placement.Tick(moment, b.state) {
-		b.index++
-		b.state.Apply(b.index, command)
+	moment := record.Moment{Now: h.clock.Now(), UnixMs: time.Now().UnixMilli()}
+	for _, command := range h.placement.Tick(moment, h.state) {
+		h.index++
+		h.state.Apply(h.index, command)
 	}
-	for _, m := range b.members {
-		b.push(m)
+	for _, m := range h.members {
+		h.push(m)
 	}
 }
 
-func (b *bench) push(m *member) {
-	if m.builder.Table().Revision() == b.state.Revision() {
+func (h *harness) push(m *member) {
+	if m.builder.Table().Revision() == h.state.Revision() {
 		return
 	}
 	_, err := m.builder.ApplySnapshot(message.TableSnapshot{
-		Cluster: testCluster, Revision: b.state.Revision(), Digest: b.state.Digest(),
-		Objects: b.state.Objects(), First: true, Last: true,
+		Cluster: testCluster, Revision: h.state.Revision(), Digest: h.state.Digest(),
+		Objects: h.state.Objects(), First: true, Last: true,
 	})
 	if err != nil {
-		b.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	m.service.TableChanged()
 }
 
-func (b *bench) await(what string, holds func() bool) {
-	b.t.Helper()
-	for end := time.Now().Add(testWait); !holds(); b.turn() {
+func (h *harness) await(what string, holds func() bool) {
+	h.t.Helper()
+	for end := time.Now().Add(testWait); !holds(); h.tick() {
 		if time.Now().After(end) {
-			b.t.Fatalf("waited in vain for %s; partitions: %+v", what, b.state.Partitions())
+			h.t.Fatalf("timed out waiting for %s; partitions: %+v", what, h.state.Partitions())
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-func (b *bench) synced() bool {
-	for _, placed := range b.state.Partitions() {
+func (h *harness) synced() bool {
+	for _, placed := range h.state.Partitions() {
 		if !placed.BackupSynced {
 			return false
 		}
 	}
-	return len(b.state.Partitions()) > 0
+	return len(h.state.Partitions()) > 0
 }
 
-func (b *bench) newKey() record.Key {
+func (h *harness) newKey() record.Key {
 	return record.Key(uuid.Must(uuid.NewV7()))
 }
 
-func (b *bench) placed(key record.Key) state.RecordPartition {
-	placed, _ := b.state.Partition(key.Partition(len(b.state.Partitions())))
+func (h *harness) placed(key record.Key) state.RecordPartition {
+	placed, _ := h.state.Partition(key.Partition(len(h.state.Partitions())))
 	return placed
 }
 
-func (b *bench) claimOf(m *member, key record.Key) record.Claim {
-	attempt := fmt.Sprint(b.attempts.Add(1))
+func (h *harness) claimOf(m *member, key record.Key) record.Claim {
+	attempt := fmt.Sprint(h.attempts.Add(1))
 	return record.Claim{Key: key, Attempt: attempt, Router: m.self.ID, Session: m.service.Session()}
 }
 
-// claim claims until the answer is final, while the controller works on.
-func (b *bench) claim(m *member, key record.Key) (record.Claim, message.RecordAnswer) {
-	b.t.Helper()
-	claim := b.claimOf(m, key)
+// claim resends a claim until the answer is final, while the controller keeps running.
+func (h *harness) claim(m *member, key record.Key) (record.Claim, message.RecordAnswer) {
+	h.t.Helper()
+	claim := h.claimOf(m, key)
 	var answer message.RecordAnswer
-	b.await("a final answer", func() bool {
+	h.await("a final answer", func() bool {
 		answer, _ = m.service.Claim(context.Background(), claim)
 		return answer.Verdict != record.NotPrimary && answer.Verdict != record.NotStored
 	})
@@ -217,13 +217,13 @@
 }
 
 func TestRecordsOutliveTheirPrimary(t *testing.T) {
-	b := newBench(t, 3)
-	answered, running := b.newKey(), b.newKey()
-	entry := b.members[0]
-	if b.placed(answered).Primary == entry.self.ID {
-		entry = b.members[1]
+	h := newHarness(t, 3)
+	answered, running := h.newKey(), h.newKey()
+	entry := h.members[0]
+	if h.placed(answered).Primary == entry.self.ID {
+		entry = h.members[1]
 	}
-	claim, granted := b.claim(entry, answered)
+	claim, granted := h.claim(entry, answered)
 	if granted.Verdict != record.Granted {
 		t.Fatalf("first claim: %s", granted.Verdict)
 	}
@@ -231,37 +231,37 @@
 	if !entry.service.Complete(context.Background(), record.Completion{Claim: claim, Status: record.Completed, Answer: kept}) {
 		t.Fatal("completion not recorded")
 	}
-	if _, answer := b.claim(entry, running); answer.Verdict != record.Granted {
+	if _, answer := h.claim(entry, running); answer.Verdict != record.Granted {
 		t.Fatalf("second claim: %s", answer.Verdict)
 	}
-	primary := b.placed(answered).Primary
-	b.remove(primary).kill()
-	b.await("another primary", func() bool { return b.placed(answered).Primary != primary && b.synced() })
-	if b.placed(answered).LostBefore != 0 {
+	primary := h.placed(answered).Primary
+	h.remove(primary).kill()
+	h.await("another primary", func() bool { return h.placed(answered).Primary != primary && h.synced() })
+	if h.placed(answered).LostBefore != 0 {
 		t.Error("records count as lost although the backup had them")
 	}
-	for _, m := range b.members {
-		_, answer := b.claim(m, answered)
+	for _, m := range h.members {
+		_, answer := h.claim(m, answered)
 		if answer.Verdict != record.AnswerKept || string(answer.Answer.Body) != "own" {
 			t.Errorf("resend through %s: %s", m.self.ID, answer.Verdict)
 		}
-		if _, answer := b.claim(m, running); answer.Verdict != record.InProgress {
+		if _, answer := h.claim(m, running); answer.Verdict != record.InProgress {
 			t.Errorf("resend of a running request through %s: %s", m.self.ID, answer.Verdict)
 		}
 	}
 }
 
 func TestRunningRequestOfADeadRouterIsUnknown(t *testing.T) {
-	b := newBench(t, 3)
-	key := b.newKey()
-	entry := b.remove(b.placed(key).Backup)
-	if _, answer := b.claim(entry, key); answer.Verdict != record.Granted {
+	h := newHarness(t, 3)
+	key := h.newKey()
+	entry := h.remove(h.placed(key).Backup)
+	if _, answer := h.claim(entry, key); answer.Verdict != record.Granted {
 		t.Fatalf("first claim: %s", answer.Verdict)
 	}
 	entry.kill()
 	verdict := record.InProgress
-	b.await("the end of the session", func() bool {
-		_, answer := b.claim(b.members[0], key)
+	h.await("the end of the session", func() bool {
+		_, answer := h.claim(h.members[0], key)
 		verdict = answer.Verdict
 		return verdict != record.InProgress
 	})
@@ -271,30 +271,30 @@
 }
 
 func TestBothCopiesLostNeverRunsAgain(t *testing.T) {
-	b := newBench(t, 3)
-	key := b.newKey()
-	placed := b.placed(key)
-	first, second := b.remove(placed.Primary), b.remove(placed.Backup)
-	entry := b.members[0]
-	if _, answer := b.claim(entry, key); answer.Verdict != record.Granted {
+	h := newHarness(t, 3)
+	key := h.newKey()
+	placed := h.placed(key)
+	first, second := h.remove(placed.Primary), h.remove(placed.Backup)
+	entry := h.members[0]
+	if _, answer := h.claim(entry, key); answer.Verdict != record.Granted {
 		t.Fatalf("first claim: %s", answer.Verdict)
 	}
 	first.kill()
 	second.kill()
-	if _, answer := b.claim(entry, key); answer.Verdict != record.RecordsLost {
+	if _, answer := h.claim(entry, key); answer.Verdict != record.RecordsLost {
 		t.Errorf("resend after both copies were lost: %s", answer.Verdict)
 	}
 }
 
 func TestOneOfManyClaimsIsGrantedWhileRoutersStop(t *testing.T) {
-	b := newBench(t, 3)
-	key := b.newKey()
+	h := newHarness(t, 3)
+	key := h.newKey()
 	var granted atomic.Int64
 	var group conc.WaitGroup
 	ctx, cancel := context.WithCancel(context.Background())
-	for _, m := range b.members {
+	for _, m := range h.members {
 		for range 8 {
-			claim := b.claimOf(m, key)
+			claim := h.claimOf(m, key)
 			group.Go(func() {
 				for ctx.Err() == nil {
 					if answer, _ := m.service.Claim(ctx, claim); answer.Verdict == record.Granted {
@@ -306,20 +306,20 @@
 			})
 		}
 	}
-	primary := b.placed(key).Primary
-	leaving := b.members[0]
-	for _, m := range b.members {
+	primary := h.placed(key).Primary
+	leaving := h.members[0]
+	for _, m := range h.members {
 		if m.self.ID == primary {
 			leaving = m
 		}
 	}
 	leaving.service.Leave()
-	b.await("the hand-over", func() bool { return b.placed(key).Primary != primary && granted.Load() > 0 })
-	backup := b.remove(b.placed(key).Backup)
+	h.await("the hand-over", func() bool { return h.placed(key).Primary != primary && granted.Load() > 0 })
+	backup := h.remove(h.placed(key).Backup)
 	backup.kill()
-	b.await("another backup", func() bool { return b.placed(key).Backup != backup.self.ID })
-	if b.placed(key).LostBefore != 0 {
-		t.Error("records were lost although each loss came alone")
+	h.await("another backup", func() bool { return h.placed(key).Backup != backup.self.ID })
+	if h.placed(key).LostBefore != 0 {
+		t.Error("records were lost although only one copy was lost at a time")
 	}
 	cancel()
 	group.Wait()
@@ -328,10 +328,10 @@
 	}
 }
 
-// BenchmarkClaimAndComplete takes the whole way of one request's record: claim
-// and completion, from a router that holds neither copy, over loopback.
+// BenchmarkClaimAndComplete measures the claim and the completion of one request over
+// loopback, from a router that holds neither copy.
 func BenchmarkClaimAndComplete(b *testing.B) {
-	three := newBench(b, 3)
+	three := newHarness(b, 3)
 	ctx := context.Background()
 	b.ResetTimer()
 	for b.Loop() {
@@ -343,7 +343,7 @@
 			}
 			claim := three.claimOf(entry, key)
 			if answer, _ := entry.service.Claim(ctx, claim); answer.Verdict != record.Granted {
-				three.turn()
+				three.tick()
 				continue
 			}
 			entry.service.Complete(ctx, record.Completion{Claim: claim, Status: record.Completed, Answer: &record.Answer{Status: 200}})
--- a/internal/router/records/sync.go
+++ b/internal/router/records/sync.go
@@ -14,24 +14,24 @@
 )
 
 const (
-	// syncInterval is the longest time between two looks at what is to be
-	// transferred and what has expired.
+	// syncInterval is the maximum time between two checks for due transfers and expired
+	// records.
 	syncInterval = 200 * time.Millisecond
-	// syncWorkers bounds the transfers at the same time.
+	// syncWorkers is the maximum number of concurrent transfers.
 	syncWorkers = 4
-	// batchRecords and batchBytes bound one part of a transfer.
+	// batchRecords and batchBytes limit one batch of a transfer.
 	batchRecords = 256
 	batchBytes   = 1 << 20
 )
 
-// Run serves other routers on the listener, which it owns, and keeps the
-// backups whole, until the context ends.
+// Run serves other routers on the listener, which it owns, and keeps the backups in sync
+// until the context ends.
 func (s *Service) Run(ctx context.Context, listener net.Listener) error {
 	var group conc.WaitGroup
 	group.Go(func() { s.keepSynced(ctx) })
 	group.Go(func() { s.prober.run(ctx) })
 	err := s.peers.serve(ctx, listener)
-	s.end()
+	s.cancelRun()
 	s.peers.close()
 	group.Wait()
 	return err
@@ -48,59 +48,59 @@
 		case <-s.syncDue:
 		}
 		workers := pool.New().WithMaxGoroutines(syncWorkers)
-		for _, each := range s.all() {
-			if s.tidy(each) {
-				workers.Go(func() { s.transfer(each) })
+		for _, local := range s.allPartitions() {
+			if s.expireAndCheckBackup(local) {
+				workers.Go(func() { s.transfer(local) })
 			}
 		}
 		workers.Wait()
 	}
 }
 
-// tidy forgets expired records and reports whether the backup lacks records.
-func (s *Service) tidy(each *held) bool {
-	each.mutex.Lock()
-	defer each.mutex.Unlock()
-	each.core.Expire(s.moment())
-	if each.core.Role() != record.RolePrimary || each.core.Placed().Backup == "" {
+// expireAndCheckBackup deletes expired records and reports whether the backup needs a transfer.
+func (s *Service) expireAndCheckBackup(local *localPartition) bool {
+	local.mutex.Lock()
+	defer local.mutex.Unlock()
+	local.core.Expire(s.moment())
+	if local.core.Role() != record.RolePrimary || local.core.Placed().Backup == "" {
 		return false
 	}
-	epoch := each.core.Epoch()
-	return each.synced != epoch && each.failed != epoch
+	epoch := local.core.Epoch()
+	return local.synced != epoch && local.failed != epoch
 }
 
-// transfer sends every record to the backup, in parts. Records that change
-// meanwhile go to the backup by themselves, in a higher version.
-func (s *Service) transfer(each *held) {
-	each.mutex.Lock()
-	placed := each.core.Placed()
-	keys := each.core.Keys()
-	each.mutex.Unlock()
+// transfer sends every record to the backup in batches. Records that change in the
+// meantime are stored on the backup separately, with a higher version.
+func (s *Service) transfer(local *localPartition) {
+	local.mutex.Lock()
+	placed := local.core.Placed()
+	keys := local.core.Keys()
+	local.mutex.Unlock()
 	for first := true; first || len(keys) > 0; first = false {
-		part, left, current := each.part(keys, placed.Epoch)
-		if !current || !s.storeOn(each, placed, backupOf(placed), part) {
+		batch, remaining, current := local.nextBatch(keys, placed.Epoch)
+		if !current || !s.storeOn(local, placed, backupOf(placed), batch) {
 			return
 		}
-		keys = left
+		keys = remaining
 	}
-	each.mutex.Lock()
-	defer each.mutex.Unlock()
-	if each.core.Epoch() != placed.Epoch || each.failed == placed.Epoch {
+	local.mutex.Lock()
+	defer local.mutex.Unlock()
+	if local.core.Epoch() != placed.Epoch || local.failed == placed.Epoch {
 		return
 	}
-	each.synced = placed.Epoch
+	local.synced = placed.Epoch
 	signal(s.reportDue)
 	telemetry.With(s.options.Log, telemetry.EventBackupSynced).WithField("partition", placed.Number).
-		WithField("router", placed.Backup).Info("the backup holds every record")
+		WithField("router", placed.Backup).Info("backup holds every record of the partition")
 }
 
-// part returns the next part of a transfer, unless the epoch is over.
-func (h *held) part(keys []record.Key, epoch state.Epoch) ([]record.Record, []record.Key, bool) {
-	h.mutex.Lock()
-	defer h.mutex.Unlock()
-	if h.core.Epoch() != epoch {
+// nextBatch returns the next batch of a transfer and the remaining keys, or false if the epoch is over.
+func (p *localPartition) nextBatch(keys []record.Key, epoch state.Epoch) ([]record.Record, []record.Key, bool) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	if p.core.Epoch() != epoch {
 		return nil, nil, false
 	}
-	part, left := h.core.Records(keys, batchRecords, batchBytes)
-	return part, left, true
+	batch, remaining := p.core.Records(keys, batchRecords, batchBytes)
+	return batch, remaining, true
 }
