--- a/internal/record/cluster_test.go
+++ b/internal/record/cluster_test.go
@@ -238,16 +238,16 @@
 		return state.Command{}, false
 	}
 	placed := partitions[0]
-	look := c.placement.newRound(moment, c.state)
-	if !look.sessionOpen(placed.Primary, placed.PrimarySession) || !look.sessionOpen(placed.Backup, placed.BackupSession) {
+	round := c.placement.newRound(moment, c.state)
+	if !round.sessionOpen(placed.Primary, placed.PrimarySession) || !round.sessionOpen(placed.Backup, placed.BackupSession) {
 		return state.Command{}, false
 	}
 	primary, backup := holder{placed.Primary, placed.PrimarySession}, holder{placed.Backup, placed.BackupSession}
-	next, former := look.replaceBackup(placed), backup
+	next, former := round.replaceBackup(placed), backup
 	if c.random.IntN(2) == 0 {
-		next, former = look.promote(placed, backup), primary
+		next, former = round.promote(placed, backup), primary
 	}
-	next = look.withFormer(next, former, placed.Epoch)
+	next = round.withFormer(next, former, placed.Epoch)
 	return state.Command{PutPartitions: &state.PutPartitions{Partitions: []state.RecordPartition{next}}}, true
 }
 
@@ -283,10 +283,10 @@
 // most others report the same router for a while, and any router may report a random one.
 func (c *testCluster) reportedUnreachable(r *testRouter) []state.RouterID {
 	var unreachable []state.RouterID
-	const blameTime = 6 * time.Second
-	blamed := c.routers[int(c.now/blameTime)%len(c.routers)].identity.ID
-	if int(c.now/blameTime)%3 > 0 && blamed != r.identity.ID {
-		unreachable = append(unreachable, blamed)
+	const reportedTime = 6 * time.Second
+	reportedByMost := c.routers[int(c.now/reportedTime)%len(c.routers)].identity.ID
+	if int(c.now/reportedTime)%3 > 0 && reportedByMost != r.identity.ID {
+		unreachable = append(unreachable, reportedByMost)
 	}
 	if c.random.IntN(20) == 0 {
 		unreachable = append(unreachable, c.randomRouter().identity.ID)
--- a/internal/record/cutoff.go
+++ b/internal/record/cutoff.go
@@ -128,8 +128,8 @@
 
 // inCooldown reports whether a router gets no new roles because it is or recently was cut off.
 func (p *Placement) inCooldown(now time.Duration, id state.RouterID) bool {
-	last := p.status(id).lastCutOff
-	return last > 0 && now-last < cutOffCooldown
+	lastCutOff := p.status(id).lastCutOff
+	return lastCutOff > 0 && now-lastCutOff < cutOffCooldown
 }
 
 // awaitsCutOffDecision reports whether the primary may turn out to be cut off, in which
--- a/internal/record/cutoff_test.go
+++ b/internal/record/cutoff_test.go
@@ -137,7 +137,7 @@
 // TestFlappingReportsAreBounded lets reports against a router come and go and counts the
 // moves: at most one of each partition per cooldown, and no records are lost.
 func TestFlappingReportsAreBounded(t *testing.T) {
-	const flap, rests = time.Second, 3
+	const flapInterval, cooldowns = time.Second, 3
 	h := newPlacementHarness(t, "a", "b", "c")
 	moves := 0
 	primaries := make(map[int]state.RouterID)
@@ -145,7 +145,7 @@
 		primaries[placed.Number] = placed.Primary
 	}
 	blamed := []state.RouterID{"a", "b", "c"}
-	for round := range int(rests * cutOffCooldown / flap) {
+	for round := range int(cooldowns * cutOffCooldown / flapInterval) {
 		target := blamed[round%len(blamed)]
 		for id := range h.reports {
 			h.reports[id] = Report{}
@@ -153,7 +153,7 @@
 				h.reports[id] = Report{Unreachable: []state.RouterID{target}}
 			}
 		}
-		h.run(flap)
+		h.run(flapInterval)
 		for _, placed := range h.state.Partitions() {
 			if placed.Primary != primaries[placed.Number] {
 				primaries[placed.Number] = placed.Primary
@@ -164,7 +164,7 @@
 			}
 		}
 	}
-	if most := (rests + 1) * len(primaries); moves == 0 || moves > most {
+	if most := (cooldowns + 1) * len(primaries); moves == 0 || moves > most {
 		t.Errorf("%d moves, want at least 1 and at most %d", moves, most)
 	}
 }
@@ -212,7 +212,7 @@
 // moves for balance, and the primary is cut off before its new backup has the records. If the old
 // backup's copy were given up with the move, no other router would have them.
 func TestMoveForBalanceLeavesAWholeCopyInReach(t *testing.T) {
-	const reported = 400 * time.Millisecond
+	const reportDelay = 400 * time.Millisecond
 	h := newPlacementHarness(t, "a", "b", "c")
 	h.reports["d"] = Report{}
 	var moving state.RecordPartition
@@ -228,7 +228,7 @@
 		t.Fatal("no role moved to the router that joined")
 	}
 	h.syncBlocked = map[state.RouterID]bool{moving.Primary: true}
-	h.run(reported)
+	h.run(reportDelay)
 	var others []state.RouterID
 	for id := range h.reports {
 		if id != moving.Primary {
@@ -249,18 +249,18 @@
 // primary hands over to its backup, which is cut off before its own backup has the records. If the
 // leaving router's copy were given up with the move, no other router would have them.
 func TestLeavingPrimaryLeavesAWholeCopyInReach(t *testing.T) {
-	const reported = 400 * time.Millisecond
+	const reportDelay = 400 * time.Millisecond
 	h := newPlacementHarness(t, "a", "b", "c")
-	earlier := make(map[int]bool)
+	placedOnA := make(map[int]bool)
 	for _, placed := range h.state.Partitions() {
-		earlier[placed.Number] = placed.Primary == "a"
+		placedOnA[placed.Number] = placed.Primary == "a"
 	}
 	h.reports["a"] = Report{Leaving: true}
 	var moving state.RecordPartition
 	for end := h.now + 5*time.Second; moving.Primary == "" && h.now < end; {
 		h.run(tick)
 		for _, placed := range h.state.Partitions() {
-			if earlier[placed.Number] && placed.Primary != "a" && !placed.BackupSynced {
+			if placedOnA[placed.Number] && placed.Primary != "a" && !placed.BackupSynced {
 				moving = placed
 			}
 		}
@@ -269,7 +269,7 @@
 		t.Fatal("no partition moved from the leaving router")
 	}
 	h.syncBlocked = map[state.RouterID]bool{moving.Primary: true}
-	h.run(reported)
+	h.run(reportDelay)
 	var others []state.RouterID
 	for id, report := range h.reports {
 		if id != moving.Primary {
--- a/internal/record/loss_test.go
+++ b/internal/record/loss_test.go
@@ -20,9 +20,9 @@
 // which keys are rejected must cover that key, and exceed it by no more than the time until the lease
 // had certainly ended.
 func TestRefusalAfterALossIsTheLeastThatIsSafe(t *testing.T) {
-	// outlived is how much longer the backup lives than the primary. It may become the
+	// backupOutlives is how much longer the backup lives than the primary. It may become the
 	// primary before its end is noticed.
-	const outlived = 2 * tick
+	const backupOutlives = 2 * tick
 	h := newPlacementHarness(t, "a", "b", "c")
 	placed, _ := h.state.Partition(0)
 	primary := NewPartition(placed.Primary, Settings{Lifetime: testLifetime, MaxRecords: 1, MaxAnswerBytes: 1})
@@ -35,14 +35,14 @@
 		t.Fatalf("claim of the latest key: %s", verdict)
 	}
 	delete(h.reports, placed.Primary)
-	h.run(outlived)
+	h.run(backupOutlives)
 	delete(h.reports, placed.Backup)
 	h.run(testLease + lastCopyWait + time.Second)
 	after, _ := h.state.Partition(0)
 	if after.LostBefore <= key.UnixMs() {
 		t.Errorf("key %d runs again, keys are rejected only up to %d", key.UnixMs(), after.LostBefore)
 	}
-	slack := time.Duration(float64(testLease)*testRate) + outlived + 3*tick
+	slack := time.Duration(float64(testLease)*testRate) + backupOutlives + 3*tick
 	if most := key.UnixMs() + slack.Milliseconds(); after.LostBefore > most {
 		t.Errorf("keys are rejected up to %d, %d would be safe", after.LostBefore, most)
 	}
--- a/internal/router/records/service_test.go
+++ b/internal/router/records/service_test.go
@@ -64,18 +64,18 @@
 // record. From then on no role moves for balance. While one moves there is only one complete
 // copy, and tests of a loss need two.
 func (h *harness) settled() bool {
-	const most = 1
+	const tolerance = 1
 	primaries, backups := make(map[state.RouterID]int), make(map[state.RouterID]int)
 	for _, placed := range h.state.Partitions() {
 		primaries[placed.Primary]++
 		backups[placed.Backup]++
 	}
-	count, shared := len(h.state.Partitions()), len(h.members)
+	count, routers := len(h.state.Partitions()), len(h.members)
 	for _, m := range h.members {
-		if primaries[m.self.ID] > count/shared+most || backups[m.self.ID] > count/shared+most {
+		if primaries[m.self.ID] > count/routers+tolerance || backups[m.self.ID] > count/routers+tolerance {
 			return false
 		}
-		if primaries[m.self.ID] < count/shared || backups[m.self.ID] < count/shared {
+		if primaries[m.self.ID] < count/routers || backups[m.self.ID] < count/routers {
 			return false
 		}
 	}
