--- a/internal/controller/partitions.go
+++ b/internal/controller/partitions.go
@@ -134,15 +134,15 @@
 	k.follow(stream.leadership)
 	report := record.Report{
 		Synced: partitionEpochs(ping.SyncedPartitions), Failed: partitionEpochs(ping.FailedBackups),
-		FailedFormers: partitionEpochs(ping.FailedFormers), Earlier: !ping.KeepsFormers,
+		FailedFormers: partitionEpochs(ping.FailedFormers), IgnoresFormers: !ping.KeepsFormers,
 		Leaving: ping.Leaving, Stopped: ping.Stopped, Unreachable: ping.Unreachable, Revision: ping.Revision,
-		Unfit: stream.unfit(),
+		Incompatible: stream.unfit(),
 	}
 	if stream.times != nil {
 		report.Lifetime = stream.times.RecordsLifetime
 	}
 	k.replica.view(func(view *state.State) {
-		session, lease := k.placement.Pinged(k.replica.clock.Now(), stream.process, report, view)
+		session, lease := k.placement.HandlePing(k.replica.clock.Now(), stream.process, report, view)
 		pong.Session = session
 		pong.LeaseNs = int64(lease)
 	})
--- a/internal/record/fit.go
+++ b/internal/record/fit.go
@@ -6,54 +6,55 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
-// maySession reports whether a process wants a session and may have one by its
-// own settings.
-func (c *contact) maySession() bool {
-	return !c.report.Stopped && !c.report.Leaving && !c.report.Unfit
+// eligibleForSession reports whether a process wants a session and its settings
+// allow one.
+func (s *routerStatus) eligibleForSession() bool {
+	return !s.report.Stopped && !s.report.Leaving && !s.report.Incompatible
 }
 
-// lifetimes are those of the records that routers with a session keep. A router
-// with a longer lifetime admits keys whose records one with a shorter lifetime has
-// dropped, so that they never have sessions at the same time.
+// lifetimes summarizes the record lifetimes of the routers with an open session.
+// Routers with different lifetimes never have sessions at the same time: the one
+// with the longer lifetime would accept keys whose records the other has dropped.
 type lifetimes struct {
-	// unheard is true while a router with a session has not told its lifetime to
-	// this controller yet.
-	unheard bool
-	// shortest and longest are of those that were told; zero while none was.
+	// incomplete is true while a router with an open session has not yet pinged
+	// this controller.
+	incomplete bool
+	// shortest and longest cover the reported lifetimes; zero if none was reported.
 	shortest, longest time.Duration
 }
 
-// openLifetimes looks at each router once, since it is asked for at every tick.
+// openLifetimes collects the lifetimes in one pass over the routers, because it
+// runs at every tick.
 func (p *Placement) openLifetimes(routers []state.Router) lifetimes {
 	var open lifetimes
 	for _, router := range routers {
 		if !router.Session.Open {
 			continue
 		}
-		known := p.contact(router.ID)
-		if known.pinged == 0 {
-			open.unheard = true
+		status := p.status(router.ID)
+		if status.lastPing == 0 {
+			open.incomplete = true
 		}
-		open.note(known.report.Lifetime)
+		open.add(status.report.Lifetime)
 	}
 	return open
 }
 
-func (l *lifetimes) note(told time.Duration) {
-	if told == 0 {
+func (l *lifetimes) add(lifetime time.Duration) {
+	if lifetime == 0 {
 		return
 	}
-	if l.shortest == 0 || told < l.shortest {
-		l.shortest = told
+	if l.shortest == 0 || lifetime < l.shortest {
+		l.shortest = lifetime
 	}
-	l.longest = max(l.longest, told)
+	l.longest = max(l.longest, lifetime)
 }
 
-// admit reports whether a router that tells a lifetime, or none, may have a
-// session beside the others.
-func (l *lifetimes) admit(told time.Duration) bool {
-	if told == 0 {
+// compatible reports whether a router with this lifetime, zero if it reports none,
+// may have a session at the same time as the others.
+func (l *lifetimes) compatible(lifetime time.Duration) bool {
+	if lifetime == 0 {
 		return true
 	}
-	return !l.unheard && (l.longest == 0 || (l.shortest == told && l.longest == told))
+	return !l.incomplete && (l.longest == 0 || (l.shortest == lifetime && l.longest == lifetime))
 }
--- a/internal/record/reach.go
+++ b/internal/record/reach.go
@@ -9,78 +9,79 @@
 )
 
 const (
-	// ProbeInterval is the time between two probes of one router, and between
-	// two looks at who answered.
+	// ProbeInterval is the time between two probes of one router, and between two
+	// checks for answers.
 	ProbeInterval = 100 * time.Millisecond
 	// unreachableAfter is how long a router may leave probes unanswered before it
-	// is reported.
+	// is reported as unreachable.
 	unreachableAfter = 400 * time.Millisecond
-	// overdueAfter is how long the answers of all routers must be overdue for this
-	// router to count as cut off in its own eyes.
+	// overdueAfter is how old the last answers of all routers must be for this router
+	// to consider itself isolated. A longer gap between rounds is a pause of this process.
 	overdueAfter = 2 * ProbeInterval
-	// MaxProbed bounds the routers that one router probes, and thus its reports.
+	// MaxProbed is the maximum number of routers that one router probes, and thus
+	// reports.
 	MaxProbed = 32
 )
 
-// Reach is what one router knows of whether it reaches others. It is not safe
-// for concurrent use.
-type Reach struct {
-	// answered holds, for each router that is probed, when the last probe that it
-	// answered was sent, or when it was probed first.
-	answered map[state.RouterID]time.Duration
-	lastLook time.Duration
+// Reachability tracks which other routers one router can reach. It is not safe for
+// concurrent use.
+type Reachability struct {
+	// lastAnswered holds, for each probed router, the send time of the latest probe
+	// that it answered, or the time from which its answers are awaited.
+	lastAnswered map[state.RouterID]time.Duration
+	lastRound    time.Duration
 }
 
-// NewReach returns a Reach that knows no router.
-func NewReach() *Reach {
-	return &Reach{answered: make(map[state.RouterID]time.Duration)}
+// NewReachability returns a Reachability without any routers.
+func NewReachability() *Reachability {
+	return &Reachability{lastAnswered: make(map[state.RouterID]time.Duration)}
 }
 
-// Look begins a round of probes of the given routers, of which it takes the
-// first MaxProbed, and returns those. After a pause of this process the answers
-// that are missing say nothing about others.
-func (r *Reach) Look(now time.Duration, routers []state.RouterID) []state.RouterID {
+// BeginRound begins a round of probes and returns the routers to probe, the first
+// MaxProbed of those given. After a pause of this process all routers count as just
+// answered, because missing answers then say nothing about the other routers.
+func (r *Reachability) BeginRound(now time.Duration, routers []state.RouterID) []state.RouterID {
 	routers = routers[:min(len(routers), MaxProbed)]
-	paused := now-r.lastLook > overdueAfter
-	r.lastLook = now
-	maps.DeleteFunc(r.answered, func(router state.RouterID, _ time.Duration) bool {
+	paused := now-r.lastRound > overdueAfter
+	r.lastRound = now
+	maps.DeleteFunc(r.lastAnswered, func(router state.RouterID, _ time.Duration) bool {
 		return !slices.Contains(routers, router)
 	})
 	for _, router := range routers {
-		if _, known := r.answered[router]; !known || paused {
-			r.answered[router] = now
+		if _, found := r.lastAnswered[router]; !found || paused {
+			r.lastAnswered[router] = now
 		}
 	}
 	return routers
 }
 
-// Answered notes that a router answered a probe that was sent at a time.
-func (r *Reach) Answered(router state.RouterID, sent time.Duration) {
-	if known, probed := r.answered[router]; probed {
-		r.answered[router] = max(known, sent)
+// MarkAnswered records that a router answered the probe sent at the given time.
+func (r *Reachability) MarkAnswered(router state.RouterID, sent time.Duration) {
+	if previous, probed := r.lastAnswered[router]; probed {
+		r.lastAnswered[router] = max(previous, sent)
 	}
 }
 
-// Unreachable returns the routers that left probes unanswered for too long, by
-// identifier.
-func (r *Reach) Unreachable(now time.Duration) []state.RouterID {
-	var silent []state.RouterID
-	for router, answered := range r.answered {
+// Unreachable returns the routers that left probes unanswered for too long, sorted
+// by identifier.
+func (r *Reachability) Unreachable(now time.Duration) []state.RouterID {
+	var unreachable []state.RouterID
+	for router, answered := range r.lastAnswered {
 		if now-answered >= unreachableAfter {
-			silent = append(silent, router)
+			unreachable = append(unreachable, router)
 		}
 	}
-	slices.Sort(silent)
-	return silent
+	slices.Sort(unreachable)
+	return unreachable
 }
 
-// Alone reports whether the answers of all routers are overdue. Of a single one
-// it cannot be told whose fault it is.
-func (r *Reach) Alone(now time.Duration) bool {
-	for _, answered := range r.answered {
+// Isolated reports whether the answers of all routers are overdue. It needs at
+// least minReporters routers: with a single one, either side may be at fault.
+func (r *Reachability) Isolated(now time.Duration) bool {
+	for _, answered := range r.lastAnswered {
 		if now-answered < overdueAfter {
 			return false
 		}
 	}
-	return len(r.answered) >= minReporters
+	return len(r.lastAnswered) >= minReporters
 }
