--- a/internal/dispatch/balance.go
+++ b/internal/dispatch/balance.go
@@ -122,10 +122,10 @@
 	return candidates[first]
 }
 
-// GiveUp returns the kind with which a request ends whose last attempt failed
-// with the given kind, after an earlier attempt's outcome may be unknown. Once
-// an attempt may have run, no later refusal may claim "not run".
-func GiveUp(history *History, kind fault.Kind) fault.Kind {
+// FinalKind returns the failure kind with which a request ends after its last attempt
+// failed with the given kind. If an earlier attempt may have run, a refusal must not
+// claim "not run", so the kind of that attempt is returned instead.
+func FinalKind(history *History, kind fault.Kind) fault.Kind {
 	if fault.AnswerFor(kind).Outcome != fault.NotRun {
 		return kind
 	}
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -162,10 +162,10 @@
 	lost := &History{Attempts: []Attempt{{Kind: fault.ConnectionLost}, {Kind: fault.WrongEpoch}}}
 	clean := &History{Attempts: []Attempt{{Kind: fault.WrongEpoch}}}
 	for _, kind := range fault.Kinds() {
-		if got := GiveUp(clean, kind); got != kind {
+		if got := FinalKind(clean, kind); got != kind {
 			t.Errorf("%s became %s", kind, got)
 		}
-		if got := GiveUp(lost, kind); fault.AnswerFor(got).Outcome == fault.NotRun {
+		if got := FinalKind(lost, kind); fault.AnswerFor(got).Outcome == fault.NotRun {
 			t.Errorf("%s after a lost connection says not run", kind)
 		}
 	}
--- a/internal/execution/outcome.go
+++ b/internal/execution/outcome.go
@@ -129,6 +129,6 @@
 
 // giveUp ends the request. The answer goes out at once.
 func (e *Execution) giveUp(failure *fault.Error) Action {
-	kind := dispatch.GiveUp(&e.history, failure.Kind)
+	kind := dispatch.FinalKind(&e.history, failure.Kind)
 	return Action{Kind: Finish, Failure: fault.New(kind, failure.Detail)}
 }
