--- a/internal/dispatch/balance.go
+++ b/internal/dispatch/balance.go
@@ -8,62 +8,64 @@
 	"github.com/thorntiller/thorntiller/internal/table"
 )
 
-// minimumRamp is the share of load that a server gets at the start of its
-// session.
-const minimumRamp = 0.1
+// minimumRampShare is the share of a server's capacity that is used at the start of
+// its session.
+const minimumRampShare = 0.1
 
-// reportWeight keeps the servers' own reports below one request of difference.
+// reportWeight scales the load that servers report, so that it counts for less than
+// a difference of one request in flight.
 const reportWeight = 0.01
 
-// candidate is a server with its load for each place.
+// candidate is a server with its load in relation to its capacity.
 type candidate struct {
 	server *state.Server
 	score  float64
 }
 
-func (p *Planner) planFree(now time.Duration, view *table.Table, fleet Fleet, request *Request, history *History) Decision {
+func (p *Planner) planUnkeyed(now time.Duration, view *table.Table, fleet Fleet, request *Request, history *History) Decision {
 	if last, found := history.last(); found && now < last.NotBefore {
 		return wait(min(last.NotBefore, request.Deadline), false)
 	}
-	present := inService(view.Servers(request.Service), isObserved(view, request.Service))
-	usable := fleet.Choose(present, now)
+	active := activeServers(view.Servers(request.Service), isObserved(view, request.Service))
+	usable := fleet.Choose(active, now)
 	if len(usable) == 0 {
 		return p.awaitOwner(now, request, history, "no server of the service takes work at present")
 	}
-	fresh := untried(usable, history)
-	if len(fresh) == 0 {
-		fresh = usable
+	preferred := untriedServers(usable, history)
+	if len(preferred) == 0 {
+		preferred = usable
 	}
-	chosen := p.choose(p.localFirst(p.score(fresh, fleet)))
+	chosen := p.chooseLessLoaded(p.preferLocal(p.score(preferred, fleet)))
 	return Decision{Action: Send, Server: chosen.server}
 }
 
-// inService returns the servers that may take new work.
-func inService(servers []*state.Server, observed bool) []*state.Server {
-	present := make([]*state.Server, 0, len(servers))
+// activeServers returns the servers that may get new requests. Servers of an observed
+// service need no open session.
+func activeServers(servers []*state.Server, observed bool) []*state.Server {
+	active := make([]*state.Server, 0, len(servers))
 	for _, server := range servers {
 		if server.Intent == state.ServerActive && (server.Session.Open || observed) && !server.Withdrawn() {
-			present = append(present, server)
+			active = append(active, server)
 		}
 	}
-	return present
+	return active
 }
 
-// untried leaves out the servers that failed this request before.
-func untried(servers []*state.Server, history *History) []*state.Server {
+// untriedServers returns the servers on which no attempt of this request has failed.
+func untriedServers(servers []*state.Server, history *History) []*state.Server {
 	if len(history.Attempts) == 0 {
 		return servers
 	}
-	fresh := make([]*state.Server, 0, len(servers))
+	remaining := make([]*state.Server, 0, len(servers))
 	for _, server := range servers {
-		if !tried(server.ID, history) {
-			fresh = append(fresh, server)
+		if !wasTried(server.ID, history) {
+			remaining = append(remaining, server)
 		}
 	}
-	return fresh
+	return remaining
 }
 
-func tried(id state.ServerID, history *History) bool {
+func wasTried(id state.ServerID, history *History) bool {
 	for _, attempt := range history.Attempts {
 		if attempt.Server == id {
 			return true
@@ -76,24 +78,25 @@
 	candidates := make([]candidate, 0, len(servers))
 	for _, server := range servers {
 		load := fleet.Load(server)
-		places := float64(max(1, load.Limit)) * p.ramp(load.Age)
-		score := float64(load.InFlight)/places + reportWeight*min(load.Reported, 1)/places
+		capacity := float64(max(1, load.Limit)) * p.rampShare(load.Age)
+		score := float64(load.InFlight)/capacity + reportWeight*min(load.Reported, 1)/capacity
 		candidates = append(candidates, candidate{server: server, score: score})
 	}
 	return candidates
 }
 
-// ramp returns the share of its load that a server of the given age gets.
-func (p *Planner) ramp(age time.Duration) float64 {
+// rampShare returns the share of its capacity that a server gets at the given session
+// age. It grows linearly until RampUp.
+func (p *Planner) rampShare(age time.Duration) float64 {
 	if age >= p.settings.RampUp {
 		return 1
 	}
-	return max(minimumRamp, float64(age)/float64(p.settings.RampUp))
+	return max(minimumRampShare, float64(age)/float64(p.settings.RampUp))
 }
 
-// localFirst keeps the candidates of the router's own zone as long as one of
-// them has room.
-func (p *Planner) localFirst(candidates []candidate) []candidate {
+// preferLocal returns the candidates in the router's own zone whose load is below
+// LocalLoad, or all candidates if there are none.
+func (p *Planner) preferLocal(candidates []candidate) []candidate {
 	local := make([]candidate, 0, len(candidates))
 	for _, item := range candidates {
 		if item.server.Zone == p.settings.Zone && item.score < p.settings.LocalLoad {
@@ -106,8 +109,8 @@
 	return candidates
 }
 
-// choose takes the less loaded of two candidates drawn at random.
-func (p *Planner) choose(candidates []candidate) candidate {
+// chooseLessLoaded returns the less loaded of two different candidates drawn at random.
+func (p *Planner) chooseLessLoaded(candidates []candidate) candidate {
 	if len(candidates) == 1 {
 		return candidates[0]
 	}
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -11,10 +11,10 @@
 	"github.com/thorntiller/thorntiller/internal/table"
 )
 
-// fixedFleet gives loads by server; servers in out get no work.
+// fixedFleet reports fixed loads; Choose leaves out the servers in unavailable.
 type fixedFleet struct {
-	loads map[state.ServerID]Load
-	out   map[state.ServerID]bool
+	loads       map[state.ServerID]Load
+	unavailable map[state.ServerID]bool
 }
 
 func (f fixedFleet) Load(server *state.Server) Load { return f.loads[server.ID] }
@@ -22,14 +22,14 @@
 func (f fixedFleet) Choose(servers []*state.Server, _ time.Duration) []*state.Server {
 	var usable []*state.Server
 	for _, server := range servers {
-		if !f.out[server.ID] {
+		if !f.unavailable[server.ID] {
 			usable = append(usable, server)
 		}
 	}
 	return usable
 }
 
-func view(t *testing.T, objects ...state.Object) *table.Table {
+func tableOf(t *testing.T, objects ...state.Object) *table.Table {
 	t.Helper()
 	digest := uint64(0)
 	for _, object := range objects {
@@ -44,11 +44,11 @@
 }
 
 func server(id state.ServerID, zone string, change func(*state.Server)) state.Object {
-	made := &state.Server{ID: id, Service: "s", Zone: zone, Slots: 2, Intent: state.ServerActive, Session: state.Session{Number: 1, Open: true}}
+	result := &state.Server{ID: id, Service: "s", Zone: zone, Slots: 2, Intent: state.ServerActive, Session: state.Session{Number: 1, Open: true}}
 	if change != nil {
-		change(made)
+		change(result)
 	}
-	return state.Object{Server: made}
+	return state.Object{Server: result}
 }
 
 func shard(phase state.ShardPhase, epoch state.Epoch) state.Object {
@@ -68,7 +68,7 @@
 	refused := func(epoch state.Epoch, waiting bool) *History {
 		return &History{Waiting: waiting, Attempts: []Attempt{{Server: "a", Shard: 5, Epoch: epoch, Kind: fault.WrongEpoch, NotBefore: 50}}}
 	}
-	late := DefaultSettings("").OwnerWait
+	ownerWait := DefaultSettings("").OwnerWait
 	for name, c := range map[string]struct {
 		objects []state.Object
 		history *History
@@ -76,18 +76,18 @@
 		want    Decision
 	}{
 		"owned":               {[]state.Object{owner, shard(state.ShardOwned, 3)}, &History{}, 0, Decision{Action: Send, Epoch: 3}},
-		"revoking":            {[]state.Object{owner, shard(state.ShardRevoking, 3)}, &History{}, 1, Decision{Action: Wait, Until: 1 + late, Buffered: true}},
-		"unowned":             {[]state.Object{shard(state.ShardUnowned, 3)}, &History{Waiting: true}, 1, Decision{Action: Wait, Until: late, Buffered: true}},
-		"session closed":      {[]state.Object{closed, shard(state.ShardOwned, 3)}, &History{}, 0, Decision{Action: Wait, Until: late, Buffered: true}},
-		"no shard, too long":  {nil, &History{Waiting: true}, late, Decision{Action: Refuse, Kind: fault.NoOwner}},
+		"revoking":            {[]state.Object{owner, shard(state.ShardRevoking, 3)}, &History{}, 1, Decision{Action: Wait, Until: 1 + ownerWait, Buffered: true}},
+		"unowned":             {[]state.Object{shard(state.ShardUnowned, 3)}, &History{Waiting: true}, 1, Decision{Action: Wait, Until: ownerWait, Buffered: true}},
+		"session closed":      {[]state.Object{closed, shard(state.ShardOwned, 3)}, &History{}, 0, Decision{Action: Wait, Until: ownerWait, Buffered: true}},
+		"no shard, too long":  {nil, &History{Waiting: true}, ownerWait, Decision{Action: Refuse, Kind: fault.NoOwner}},
 		"backs off":           {[]state.Object{owner, shard(state.ShardOwned, 3)}, refused(3, false), 10, Decision{Action: Wait, Until: 50, Buffered: true}},
 		"after the back-off":  {[]state.Object{owner, shard(state.ShardOwned, 3)}, refused(3, true), 50, Decision{Action: Send, Epoch: 3}},
 		"new epoch, at once":  {[]state.Object{owner, shard(state.ShardOwned, 4)}, refused(3, true), 10, Decision{Action: Send, Epoch: 4}},
-		"same owner too long": {[]state.Object{owner, shard(state.ShardOwned, 3)}, refused(3, true), late, Decision{Action: Refuse, Kind: fault.WrongEpoch}},
+		"same owner too long": {[]state.Object{owner, shard(state.ShardOwned, 3)}, refused(3, true), ownerWait, Decision{Action: Refuse, Kind: fault.WrongEpoch}},
 		"deadline":            {[]state.Object{owner, shard(state.ShardOwned, 3)}, &History{}, time.Minute, Decision{Action: Refuse, Kind: fault.DeadlineBeforeStart}},
 	} {
 		request := &Request{Service: "s", Keyed: true, KeyHash: 9, Deadline: time.Minute}
-		got := planner(1).Plan(c.now, view(t, c.objects...), fixedFleet{}, request, c.history)
+		got := planner(1).Plan(c.now, tableOf(t, c.objects...), fixedFleet{}, request, c.history)
 		got.Detail = ""
 		if got.Action == Send && (got.Server.ID != "a" || got.Shard != 5) {
 			t.Errorf("%s: sent to %v", name, got.Server)
@@ -99,13 +99,13 @@
 	}
 }
 
-// spread plans many requests without keys and counts them by server.
-func spread(t *testing.T, fleet fixedFleet, history *History, objects ...state.Object) map[state.ServerID]int {
+// countChoices plans 1000 requests without keys and returns how many went to each server.
+func countChoices(t *testing.T, fleet fixedFleet, history *History, objects ...state.Object) map[state.ServerID]int {
 	t.Helper()
 	request := &Request{Service: "s", Deadline: time.Minute}
 	counts := make(map[state.ServerID]int)
 	plan := planner(3)
-	current := view(t, objects...)
+	current := tableOf(t, objects...)
 	for range 1000 {
 		decision := plan.Plan(0, current, fleet, request, history)
 		if decision.Action != Send {
@@ -122,15 +122,15 @@
 		server("c", "z1", func(s *state.Server) { s.Intent = state.ServerRetiring }),
 		server("d", "z1", func(s *state.Server) { s.Session.Open = false }), server("e", "z1", nil), server("f", "z1", nil),
 	}
-	fleet := fixedFleet{out: map[state.ServerID]bool{"f": true}}
-	if counts := spread(t, fleet, &History{}, all...); len(counts) != 2 || counts["a"] == 0 || counts["e"] == 0 {
+	fleet := fixedFleet{unavailable: map[state.ServerID]bool{"f": true}}
+	if counts := countChoices(t, fleet, &History{}, all...); len(counts) != 2 || counts["a"] == 0 || counts["e"] == 0 {
 		t.Errorf("got %v", counts)
 	}
 	tried := &History{Attempts: []Attempt{{Server: "a", Kind: fault.ConnectFailed}}}
-	if counts := spread(t, fleet, tried, all...); counts["e"] != 1000 {
+	if counts := countChoices(t, fleet, tried, all...); counts["e"] != 1000 {
 		t.Errorf("after a failure at a: got %v", counts)
 	}
-	none := planner(1).Plan(0, view(t, all[1:4]...), fleet, &Request{Service: "s", Deadline: time.Minute}, &History{})
+	none := planner(1).Plan(0, tableOf(t, all[1:4]...), fleet, &Request{Service: "s", Deadline: time.Minute}, &History{})
 	if none.Action != Wait || !none.Buffered {
 		t.Errorf("no server: got %+v", none)
 	}
@@ -149,9 +149,9 @@
 		"reports only break ties":  {map[state.ServerID]Load{"a": {InFlight: 2, Limit: 10, Age: time.Hour}, "b": {InFlight: 1, Limit: 10, Age: time.Hour, Reported: 9}, "c": warm(0)}, "b"},
 		"other zone when all full": {map[state.ServerID]Load{"a": warm(9), "b": warm(9), "c": warm(1)}, "c"},
 	} {
-		counts := spread(t, fixedFleet{loads: c.loads}, &History{}, near, near2, far)
+		counts := countChoices(t, fixedFleet{loads: c.loads}, &History{}, near, near2, far)
 		rest := 1000 - counts[c.want]
-		// Two of three are drawn, so that the best one is left out one time in three.
+		// Two of the three candidates are drawn, so the best one is left out one time in three.
 		if within := name != "other zone when all full"; (within && rest != 0) || rest > 400 {
 			t.Errorf("%s: got %v", name, counts)
 		}
@@ -160,9 +160,9 @@
 
 func TestGiveUpNeverHidesAnUnknownOutcome(t *testing.T) {
 	lost := &History{Attempts: []Attempt{{Kind: fault.ConnectionLost}, {Kind: fault.WrongEpoch}}}
-	clean := &History{Attempts: []Attempt{{Kind: fault.WrongEpoch}}}
+	notRun := &History{Attempts: []Attempt{{Kind: fault.WrongEpoch}}}
 	for _, kind := range fault.Kinds() {
-		if got := FinalKind(clean, kind); got != kind {
+		if got := FinalKind(notRun, kind); got != kind {
 			t.Errorf("%s became %s", kind, got)
 		}
 		if got := FinalKind(lost, kind); fault.AnswerFor(got).Outcome == fault.NotRun {
--- a/internal/dispatch/doc.go
+++ b/internal/dispatch/doc.go
@@ -1,5 +1,5 @@
-// Package dispatch decides where a request goes next. It is a pure core: the
-// routing table, the request's history, in-flight counts, health and a clock
-// reading go in; one typed decision comes out. The router's process and the
-// simulator carry out the same decisions.
+// Package dispatch decides whether a request is sent to a server, waits or is
+// refused. It does no I/O and reads no clock: its inputs are the routing table,
+// the request's history, in-flight counts, server health and a clock reading, and
+// its result is a Decision. The router process and the simulator use the same code.
 package dispatch
--- a/internal/dispatch/types.go
+++ b/internal/dispatch/types.go
@@ -7,19 +7,19 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
-// Request is what the decision needs to know of a caller's request. Times are
-// readings of the router's clock.
+// Request holds the properties of a caller's request on which a decision depends. Times
+// are readings of the router's clock.
 type Request struct {
 	Service state.ServiceName
-	// Keyed requests go to the owner of KeyHash.
+	// Keyed is true if the request goes to the owner of KeyHash.
 	Keyed   bool
 	KeyHash uint64
-	// Repeatable requests may run more than once.
+	// Repeatable is true if the request may run more than once.
 	Repeatable bool
 	Deadline   time.Duration
 }
 
-// Attempt is one earlier attempt of a request.
+// Attempt is one finished attempt of a request.
 type Attempt struct {
 	Server state.ServerID
 	// Shard and Epoch are zero for services without keys.
@@ -32,10 +32,10 @@
 	NotBefore time.Duration
 }
 
-// History is what happened to a request so far.
+// History records a request's finished attempts and its wait for an owner.
 type History struct {
 	Attempts []Attempt
-	// Waiting is true once the request began to wait for an owner, at
+	// Waiting is true once the request has begun to wait for an owner, which it did at
 	// WaitingSince.
 	Waiting      bool
 	WaitingSince time.Duration
@@ -49,7 +49,7 @@
 	return h.Attempts[len(h.Attempts)-1], true
 }
 
-// Action is what to do next.
+// Action is the kind of a Decision.
 type Action int
 
 // Actions of a decision.
@@ -70,36 +70,38 @@
 	Server *state.Server
 	Shard  state.ShardID
 	Epoch  state.Epoch
-	// Unfenced is true with Send when the server knows nothing of shard and
-	// epoch, since the service is observed.
+	// Unfenced is true with Send when the service is observed, so that its servers do not
+	// check shard and epoch.
 	Unfenced bool
 	// Until is set with Wait.
 	Until time.Duration
-	// Buffered is true with Wait when the request waits for an owner, which
-	// counts against the service's buffer; false during a back-off.
+	// Buffered is true with Wait when the request waits for an owner and counts against
+	// the service's queue limit; false during a plain back-off.
 	Buffered bool
 	// Kind and Detail are set with Refuse.
 	Kind   fault.Kind
 	Detail string
 }
 
-// Load is what the router knows of a server's load.
+// Load is a server's load as the router sees it.
 type Load struct {
-	// InFlight counts this router's own requests, waiting ones included.
+	// InFlight is the number of this router's own requests to the server, including
+	// queued ones.
 	InFlight int
-	// Limit is how many the router may send at the same time.
+	// Limit is the number of requests that the router may send to the server at the
+	// same time.
 	Limit int
-	// Reported is the server's own report of running and queued requests for
-	// each slot. It may lag or mislead, so it only breaks ties.
+	// Reported is the number of running and queued requests per slot that the server
+	// last reported. It may be outdated or wrong, so it only breaks ties.
 	Reported float64
-	// Age is how long the server's present session has been known.
+	// Age is the time since the router learned of the server's current session.
 	Age time.Duration
 }
 
-// Fleet gives the loads and health of servers.
+// Fleet provides the load and health of servers.
 type Fleet interface {
 	// Load returns the load of one server.
 	Load(server *state.Server) Load
-	// Choose leaves out the servers that should get no new work.
+	// Choose returns the servers that should get new requests, judged by their health.
 	Choose(servers []*state.Server, now time.Duration) []*state.Server
 }
