--- a/internal/execution/core.go
+++ b/internal/execution/core.go
@@ -11,24 +11,25 @@
 )
 
 const (
-	// resendBurst is how many resends of a service may follow each other without
-	// a fresh request.
+	// resendBurst is the maximum number of consecutive resends of a service without a
+	// new request.
 	resendBurst = 20
-	// resendLook is how often a request without a resend in the budget looks
-	// whether it may be sent.
-	resendLook = 50 * time.Millisecond
+	// budgetRetryInterval is the time after which a request that found the resend budget
+	// empty checks again whether it may be sent.
+	budgetRetryInterval = 50 * time.Millisecond
 )
 
-// Fleet is what the router knows of its servers.
+// Fleet provides and records what the router knows about its servers.
 type Fleet interface {
 	dispatch.Fleet
-	// Answered notes an answer of the server that is no refusal.
+	// Answered records that the server has given an answer that is not a refusal.
 	Answered(server *state.Server, now time.Duration)
-	// AnsweredSince reports whether the server gave one after a clock reading.
+	// AnsweredSince reports whether the server has given such an answer after the clock
+	// reading.
 	AnsweredSince(server *state.Server, reading time.Duration) bool
 }
 
-// Options are the parts that a Core decides by.
+// Options are the dependencies of a Core.
 type Options struct {
 	Planner *dispatch.Planner
 	Policy  retry.Policy
@@ -38,10 +39,11 @@
 	Jitter func() float64
 }
 
-// Core is what the requests of one router share. It is safe for concurrent use.
+// Core holds the state that all requests of one router share. It is safe for concurrent
+// use.
 type Core struct {
-	options Options
-	waiting ownerWaits
+	options    Options
+	ownerWaits ownerWaits
 
 	mutex   sync.Mutex
 	budgets map[state.ServiceName]*retry.Budget
@@ -50,30 +52,31 @@
 // New returns a core with full retry budgets.
 func New(options Options) *Core {
 	return &Core{
-		options: options, waiting: ownerWaits{counts: make(map[state.ServiceName]int)},
+		options: options, ownerWaits: ownerWaits{counts: make(map[state.ServiceName]int)},
 		budgets: make(map[state.ServiceName]*retry.Budget),
 	}
 }
 
-// Begin counts a fresh request in. Its first step is Plan; the caller must call
-// End once it has the final answer. Request and service must not change.
+// Begin starts the execution of a new request and credits the service's retry budget.
+// The caller calls Plan first and must call End once it has the final answer. Request
+// and service must not change.
 func (c *Core) Begin(request *dispatch.Request, service *state.Service) *Execution {
 	c.budget(service).Fresh()
 	return &Execution{core: c, request: request, service: service}
 }
 
-// OwnerWaits returns how many requests wait for an owner.
-func (c *Core) OwnerWaits() int { return c.waiting.total() }
+// OwnerWaits returns the number of requests that wait for an owner.
+func (c *Core) OwnerWaits() int { return c.ownerWaits.total() }
 
-// budget returns the service's retry budget at its present ratio.
+// budget returns the service's retry budget, set to the service's current ratio.
 func (c *Core) budget(service *state.Service) *retry.Budget {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	found, ok := c.budgets[service.Name]
-	if !ok {
-		found = retry.NewBudget(service.RetryRatio, resendBurst)
-		c.budgets[service.Name] = found
+	budget, found := c.budgets[service.Name]
+	if !found {
+		budget = retry.NewBudget(service.RetryRatio, resendBurst)
+		c.budgets[service.Name] = budget
 	}
-	found.SetRatio(service.RetryRatio)
-	return found
+	budget.SetRatio(service.RetryRatio)
+	return budget
 }
--- a/internal/execution/outcome.go
+++ b/internal/execution/outcome.go
@@ -8,12 +8,12 @@
 	"github.com/thorntiller/thorntiller/internal/retry"
 )
 
-// Answered takes the end of an attempt: nil when the back end's whole answer
-// came, else what went wrong, refusals of the back end included.
+// Answered handles the end of an attempt. Failure is nil if the back end's complete
+// answer was received, else the error or the back end's refusal.
 func (e *Execution) Answered(now time.Duration, failure *fault.Error) Action {
-	took := now - e.began
-	e.release(failure, took)
-	events := e.learn(now, failure, took)
+	elapsed := now - e.attemptStart
+	e.releaseQueue(failure, elapsed)
+	events := e.recordHealth(now, failure, elapsed)
 	next := e.afterAttempt(now, failure)
 	next.Events = events
 	return next
@@ -23,18 +23,17 @@
 	if failure == nil {
 		return Action{Kind: Finish}
 	}
-	left := e.request.Deadline - now
-	open := failure.Kind == fault.DeadlineExceeded || failure.Kind == fault.ConnectionLost
-	if !open || left <= 0 {
+	remaining := e.request.Deadline - now
+	mayBeRunning := failure.Kind == fault.DeadlineExceeded || failure.Kind == fault.ConnectionLost
+	if !mayBeRunning || remaining <= 0 {
 		return e.resendOrGiveUp(now, failure)
 	}
 	e.failure = failure
-	return Action{Kind: Cancel, Timeout: min(left, cancelTime)}
+	return Action{Kind: Cancel, Timeout: min(remaining, cancelTimeout)}
 }
 
-// Cancelled takes the end of a cancel. Proved means that the back end promised
-// that the attempt never started and never will, so that the request did not
-// run.
+// Cancelled handles the end of a cancel. Proved is true if the back end has guaranteed
+// that the attempt never started and never will, so that the request did not run.
 func (e *Execution) Cancelled(now time.Duration, proved bool) Action {
 	failure := e.failure
 	if proved {
@@ -43,56 +42,57 @@
 	return e.resendOrGiveUp(now, failure)
 }
 
-// release gives back the queue's place. Only attempts that ran, or ran out of
-// time, say something of the service time.
-func (e *Execution) release(failure *fault.Error, took time.Duration) {
+// releaseQueue releases the slot in the server's queue. Only attempts that were answered
+// or timed out count as measurements of the service time.
+func (e *Execution) releaseQueue(failure *fault.Error, elapsed time.Duration) {
 	if failure == nil || failure.Kind == fault.DeadlineExceeded {
-		e.queue.Release(took)
+		e.queue.Release(elapsed)
 		return
 	}
 	e.queue.ReleaseUnused()
 }
 
-// learn tells the health tracker how the attempt went.
-func (e *Execution) learn(now time.Duration, failure *fault.Error, took time.Duration) []Event {
+// recordHealth reports the attempt's result to the health tracker.
+func (e *Execution) recordHealth(now time.Duration, failure *fault.Error, elapsed time.Duration) []Event {
 	server := e.decision.Server
 	health := e.core.options.Health
 	if failure == nil {
 		e.core.options.Fleet.Answered(server, now)
-		return e.alive()
+		return e.recordSuccess()
 	}
 	switch failure.Kind {
 	case fault.Draining:
-		events := e.alive()
+		events := e.recordSuccess()
 		if health.Drained(server) {
 			events = append(events, ServerDraining)
 		}
 		return events
 	case fault.ConnectFailed, fault.ConnectionLost, fault.AnswerTruncated, fault.AnswerMismatched:
-		return e.failed(now)
+		return e.recordFailure(now)
 	case fault.DeadlineExceeded:
-		// A caller in a hurry proves nothing about the server.
+		// A timeout after less than half of the service's default time is due to a short
+		// deadline of the caller and does not show that the server is faulty.
 		const half = 2
-		if took >= e.service.DefaultTimeout/half {
-			return e.failed(now)
+		if elapsed >= e.service.DefaultTimeout/half {
+			return e.recordFailure(now)
 		}
 		health.ProbeAbandoned(server.ID)
 	case fault.QueueFull:
 		health.ProbeAbandoned(server.ID)
 	default:
-		return e.alive()
+		return e.recordSuccess()
 	}
 	return nil
 }
 
-func (e *Execution) alive() []Event {
+func (e *Execution) recordSuccess() []Event {
 	if e.core.options.Health.Succeeded(e.decision.Server.ID) {
 		return []Event{ServerReadmitted}
 	}
 	return nil
 }
 
-func (e *Execution) failed(now time.Duration) []Event {
+func (e *Execution) recordFailure(now time.Duration) []Event {
 	if e.core.options.Health.Failed(e.decision.Server.ID, now) {
 		return []Event{ServerEjected}
 	}
@@ -100,25 +100,26 @@
 }
 
 func (e *Execution) resendOrGiveUp(now time.Duration, failure *fault.Error) Action {
-	if e.again(now, failure) {
+	if e.recordAttempt(now, failure) {
 		return Action{Kind: Plan, Failure: failure}
 	}
 	return e.giveUp(failure)
 }
 
-// again records the failed attempt and decides whether to make another one.
-func (e *Execution) again(now time.Duration, failure *fault.Error) bool {
+// recordAttempt adds the failed attempt to the history and reports whether another
+// attempt is to be made.
+func (e *Execution) recordAttempt(now time.Duration, failure *fault.Error) bool {
 	policy := e.core.options.Policy
 	delay := policy.Delay(len(e.history.Attempts)+1, e.core.options.Jitter())
 	e.history.Attempts = append(e.history.Attempts, dispatch.Attempt{
 		Server: e.decision.Server.ID, Shard: e.decision.Shard, Epoch: e.decision.Epoch,
 		Kind: failure.Kind, EndedAt: now, NotBefore: now + delay,
 	})
-	if e.final || !retry.Allowed(failure.Kind, e.request.Repeatable) || now+delay >= e.request.Deadline {
+	if e.resendForbidden || !retry.Allowed(failure.Kind, e.request.Repeatable) || now+delay >= e.request.Deadline {
 		return false
 	}
 	if e.request.Keyed && retry.OwnershipChanged(failure.Kind) {
-		// The planner bounds the wait for another owner; see payForResend.
+		// The planner limits the wait for another owner, and admitResend charges the budget.
 		return true
 	}
 	if len(e.history.Attempts) >= policy.MaxAttempts {
@@ -127,7 +128,7 @@
 	return e.core.budget(e.service).TakeResend()
 }
 
-// giveUp ends the request. The answer goes out at once.
+// giveUp ends the request with the failure, which is sent to the caller at once.
 func (e *Execution) giveUp(failure *fault.Error) Action {
 	kind := dispatch.FinalKind(&e.history, failure.Kind)
 	return Action{Kind: Finish, Failure: fault.New(kind, failure.Detail)}
--- a/internal/execution/types.go
+++ b/internal/execution/types.go
@@ -10,51 +10,52 @@
 	"github.com/thorntiller/thorntiller/internal/table"
 )
 
-// ErrSessionEnded sends requests that wait in a server's queue back to Plan.
+// ErrSessionEnded is the result of a queue wait when the server's session has ended. The
+// request is planned again.
 var ErrSessionEnded = eris.New("the server's session ended")
 
-// Reading is what the router sees at one moment.
+// Reading is the router's clock and routing table at one moment.
 type Reading struct {
 	// Now is a reading of the router's clock.
 	Now time.Duration
-	// Table is the routing table in force.
+	// Table is the current routing table.
 	Table *table.Table
-	// Fresh is true while the table is proved current.
+	// Fresh is true while the table is proved to be current.
 	Fresh bool
 }
 
-// ActionKind says what the router does next for a request.
+// ActionKind is the kind of an Action.
 type ActionKind int
 
-// Kinds of actions.
+// Kinds of actions, each with the method that the caller calls afterwards.
 const (
 	// Plan: call Plan with a new reading.
 	Plan ActionKind = iota
 	// Wait for a change of the routing table, but no longer than Until; then
-	// call Plan, or Stopped if the router's life ended.
+	// call Plan, or Stopped if the router shuts down.
 	Wait
-	// Acquire a place in the queue of Decision.Server until the request's
+	// Acquire a slot in the queue of Decision.Server before the request's
 	// deadline; then call Acquired.
 	Acquire
-	// Attempt: send the request to Decision.Server within Timeout; then call
-	// Answered.
+	// Attempt: send the request to Decision.Server within Timeout, unless MaySend forbids
+	// it; then call Answered or Withdrawn.
 	Attempt
-	// Cancel: ask the back end within Timeout to give up the attempt; then call
+	// Cancel: ask the back end within Timeout to cancel the attempt; then call
 	// Cancelled.
 	Cancel
-	// Finish: answer the caller at once, with the back end's whole answer or,
-	// when it is set, with Failure.
+	// Finish: answer the caller at once, with Failure if it is set, else with the back
+	// end's complete answer.
 	Finish
 )
 
-// Event is a change of a server's standing that an attempt brought about.
+// Event is a change of a server's health state caused by an attempt.
 type Event int
 
 // Events.
 const (
-	// ServerDraining: the server takes no new work.
+	// ServerDraining: the server accepts no new requests.
 	ServerDraining Event = iota
-	// ServerEjected: the server gets no requests for a while.
+	// ServerEjected: the server gets no requests until its ejection ends.
 	ServerEjected
 	// ServerReadmitted: the server gets requests again.
 	ServerReadmitted
@@ -69,9 +70,9 @@
 	Decision *dispatch.Decision
 	// Timeout is set with Attempt and Cancel.
 	Timeout time.Duration
-	// Failure is set with Finish, nil when the back end answered. With Plan it
-	// is the failure of the attempt after which the request is sent again.
+	// Failure with Finish is the error for the caller, nil if the back end answered.
+	// With Plan it is the failure of the attempt after which the request is sent again.
 	Failure *fault.Error
-	// Events are what the attempt said of its server.
+	// Events are the changes of the server's health state caused by the attempt.
 	Events []Event
 }
--- a/internal/execution/waits.go
+++ b/internal/execution/waits.go
@@ -6,13 +6,13 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
-// ownerWaits bounds, for each service, the requests that wait for an owner.
+// ownerWaits limits the number of requests per service that wait for an owner.
 type ownerWaits struct {
 	mutex  sync.Mutex
 	counts map[state.ServiceName]int
 }
 
-// enter counts a request in and reports whether there was room.
+// enter counts a waiting request and reports whether the service's limit allows it.
 func (w *ownerWaits) enter(service *state.Service) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
