--- a/internal/routing/rank.go
+++ b/internal/routing/rank.go
@@ -6,42 +6,42 @@
 	"github.com/thorntiller/thorntiller/internal/directory"
 )
 
-// ranks are the priorities of routes and of tenants, each once, the most urgent first. The
-// priority of a tenant goes before that of the route.
+// ranks holds the distinct priorities of routes and of tenants, in ascending order: the
+// lowest number is the most urgent. The tenant's priority takes precedence over the route's.
 type ranks struct {
 	routes  []int
 	tenants []int
-	// others is true if some requests have no tenant with a priority of its own: they come
-	// after those that have one.
-	others bool
+	// defaultGroup is true if there can be requests without a tenant or whose tenant has no
+	// priority. They rank below all requests whose tenant has one.
+	defaultGroup bool
 }
 
 func newRanks(routes map[string]parsedRoute, tenants map[string]parsedTenant) ranks {
-	made := ranks{others: len(tenants) == 0}
+	result := ranks{defaultGroup: len(tenants) == 0}
 	for _, parsed := range routes {
-		made.routes = append(made.routes, parsed.route.Priority)
-		made.others = made.others || parsed.route.AllowAnonymous
+		result.routes = append(result.routes, parsed.route.Priority)
+		result.defaultGroup = result.defaultGroup || parsed.route.AllowAnonymous
 	}
 	for _, parsed := range tenants {
 		if parsed.tenant.Priority == nil {
-			made.others = true
+			result.defaultGroup = true
 			continue
 		}
-		made.tenants = append(made.tenants, *parsed.tenant.Priority)
+		result.tenants = append(result.tenants, *parsed.tenant.Priority)
 	}
-	made.routes, made.tenants = eachOnce(made.routes), eachOnce(made.tenants)
-	return made
+	result.routes, result.tenants = sortedUnique(result.routes), sortedUnique(result.tenants)
+	return result
 }
 
-func eachOnce(priorities []int) []int {
+func sortedUnique(priorities []int) []int {
 	slices.Sort(priorities)
 	return slices.Compact(priorities)
 }
 
-// urgency returns the rank from 0 for the least urgent to 1 for the most urgent.
+// urgency returns the rank of a request; see Table.Urgency.
 func (r ranks) urgency(route *directory.Route, tenant *directory.Tenant) float64 {
 	groups := len(r.tenants)
-	if r.others {
+	if r.defaultGroup {
 		groups++
 	}
 	last := groups*len(r.routes) - 1
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -9,7 +9,7 @@
 	"github.com/thorntiller/thorntiller/internal/directory"
 )
 
-func build(t *testing.T, earlier *Table, bodies ...string) (*Table, *directory.Directory) {
+func buildTable(t *testing.T, earlier *Table, bodies ...string) (*Table, *directory.Directory) {
 	t.Helper()
 	view := directory.New()
 	for index, body := range bodies {
@@ -28,14 +28,14 @@
 	return fmt.Sprintf(`{"name":%q,"host":%q,"prefix":%q,"kind":"repeatable","service":"s","max_attempts":1,"version":%d}`, name, host, prefix, version)
 }
 
-func set(routes string) string {
+func setPatch(routes string) string {
 	return `{"set":{"routes":[` + routes + `],"services":[{"name":"s","version":1}],"limits":{"max_body_bytes":9,"version":1}}}`
 }
 
-// TestLongestPrefixWins: by host without regard to case and port, and only at the
-// begin of the path as it came.
+// TestLongestPrefixWins: hosts match regardless of case and port; a prefix matches only the
+// start of the path, which is not normalized.
 func TestLongestPrefixWins(t *testing.T) {
-	table, _ := build(t, nil, set(route("all", "a.example", "/", 1)+","+route("x", "a.example", "/x/", 1)+","+
+	table, _ := buildTable(t, nil, setPatch(route("all", "a.example", "/", 1)+","+route("x", "a.example", "/x/", 1)+","+
 		route("xy", "a.example", "/x/y/", 1)+","+route("other", "b.example", "/x/", 1)))
 	for _, c := range []struct{ host, path, want string }{
 		{"a.example", "/x/y/z", "xy"}, {"a.example", "/x/y", "x"}, {"a.example", "/x/", "x"}, {"a.example", "/x", "all"},
@@ -52,10 +52,10 @@
 	}
 }
 
-// TestTablesFollowTheDirectory: routes that did not change are taken over, dropped
-// ones are gone, and an earlier table stays as it was.
+// TestTablesFollowTheDirectory: a new table reuses unchanged routes and lacks dropped ones,
+// and building it leaves the earlier table unchanged.
 func TestTablesFollowTheDirectory(t *testing.T) {
-	first, view := build(t, nil, set(route("x", "a.example", "/x/", 1)+","+route("y", "a.example", "/y/", 1)))
+	first, view := buildTable(t, nil, setPatch(route("x", "a.example", "/x/", 1)+","+route("y", "a.example", "/y/", 1)))
 	patch, err := directory.ReadPatch([]byte(`{"remove":{"routes":[{"name":"y","version":2}]}}`))
 	if err != nil {
 		t.Fatal(err)
@@ -77,7 +77,7 @@
 	before, _ := first.Route("a.example", "/x/")
 	after, _ := second.Route("a.example", "/x/")
 	if before != after {
-		t.Error("a route that did not change was read again")
+		t.Error("an unchanged route was parsed again")
 	}
 	if _, found := second.Route("a.example", "/y/"); found {
 		t.Error("a dropped route is found")
@@ -94,23 +94,23 @@
 	}
 }
 
-// TestSplitFollowsWeights: also over few requests, for many beginnings.
+// TestSplitFollowsWeights: the weights hold over few requests, for many initial random numbers.
 func TestSplitFollowsWeights(t *testing.T) {
 	split := &directory.Route{Name: "r", Version: 1, Split: []directory.Share{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}, {Service: "c", Weight: 0}}}
 	const gateways, requests = 40, 30
 	counts := make(map[string]int)
 	for gateway := range gateways {
 		splitter := NewSplitter()
-		own := 0
+		pickedB := 0
 		for range requests {
 			picked := splitter.Pick(split, float64(gateway)/gateways)
 			counts[picked]++
 			if picked == "b" {
-				own++
+				pickedB++
 			}
 		}
-		if own < 2 || own > 4 {
-			t.Errorf("gateway %d sent %d of %d requests to the part of weight 10", gateway, own, requests)
+		if pickedB < 2 || pickedB > 4 {
+			t.Errorf("gateway %d sent %d of %d requests to the share of weight 10", gateway, pickedB, requests)
 		}
 	}
 	share := float64(counts["b"]) / (gateways * requests)
@@ -123,12 +123,12 @@
 	}
 }
 
-// TestTablesChangeAsTheDirectoryDoes: a table that follows step by step is the same as one that is
-// built anew, through instances that come, change, drain, leave and are forgotten, and services
-// that come and go; earlier tables stay as they were.
+// TestTablesChangeAsTheDirectoryDoes: a table that is updated incrementally equals one that is built
+// from scratch while instances are added, change, drain, leave and are removed and a service is
+// added; earlier tables do not change.
 func TestTablesChangeAsTheDirectoryDoes(t *testing.T) {
 	random := rand.New(rand.NewPCG(7, 7))
-	table, view := build(t, nil, set(route("x", "a.example", "/x/", 1)))
+	table, view := buildTable(t, nil, setPatch(route("x", "a.example", "/x/", 1)))
 	revision := directory.Revision(100)
 	apply := func(command directory.Command) {
 		t.Helper()
@@ -157,21 +157,21 @@
 			apply(directory.Command{Patch: &patch})
 		}
 		if random.IntN(3) == 0 {
-			continue // the next table follows after several changes
+			continue // several changes for the next table
 		}
-		before := fmt.Sprint(listed(table))
+		before := fmt.Sprint(listInstances(table))
 		next := Build(view, table)
-		if fmt.Sprint(listed(table)) != before {
+		if fmt.Sprint(listInstances(table)) != before {
 			t.Fatal("an earlier table has changed")
 		}
-		if got, want := fmt.Sprint(listed(next)), fmt.Sprint(listed(Build(view, nil))); got != want {
-			t.Fatalf("step %d: the table that follows has %s, built anew %s", step, got, want)
+		if got, want := fmt.Sprint(listInstances(next)), fmt.Sprint(listInstances(Build(view, nil))); got != want {
+			t.Fatalf("step %d: the incremental table has %s, the one built from scratch %s", step, got, want)
 		}
 		table = next
 	}
 }
 
-func listed(table *Table) []string {
+func listInstances(table *Table) []string {
 	var lines []string
 	for _, name := range table.Services() {
 		service, _ := table.Service(name)
@@ -182,10 +182,10 @@
 	return lines
 }
 
-// BenchmarkTableOfFleet builds the next table of 10,000 instances after one of them changed.
+// BenchmarkTableOfFleet builds the table of 10,000 instances after one of them has changed.
 func BenchmarkTableOfFleet(b *testing.B) {
 	view := directory.New()
-	patch, err := directory.ReadPatch([]byte(set(route("x", "a.example", "/x/", 1))))
+	patch, err := directory.ReadPatch([]byte(setPatch(route("x", "a.example", "/x/", 1))))
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -1,6 +1,6 @@
-// Package routing finds the route of a request and the instances of its service in
-// a table that is built from the directory. A table is never changed; it is
-// replaced by one built from a newer directory.
+// Package routing finds the route of a request and the instances of its service in a
+// table that is built from the directory. Tables are immutable: a changed directory
+// leads to a new table.
 package routing
 
 import (
@@ -13,17 +13,17 @@
 	"github.com/thorntiller/thorntiller/internal/directory"
 )
 
-// Service is a service with its instances and the holders of its keys.
+// Service is a service with its instances and the owners of its key ranges.
 type Service struct {
 	Config directory.Service
-	// Instances are those that are not gone, by identifier. They are replaced and never
-	// changed.
+	// Instances are the instances that are not gone, ordered by identifier. The elements are
+	// immutable; a changed instance gets a new element.
 	Instances []*directory.Instance
 	Layout    directory.Layout
 	Throttles directory.Throttles
 }
 
-// Slots returns those of all instances.
+// Slots returns the total number of slots of all instances, at least one for each.
 func (s *Service) Slots() int {
 	slots := 0
 	for _, instance := range s.Instances {
@@ -32,33 +32,32 @@
 	return slots
 }
 
-// Table is what a gateway routes by.
+// Table is the routing table of a gateway.
 type Table struct {
 	Revision directory.Revision
 	Limits   directory.Limits
-	// Evacuated are the zones that get no requests, by name.
+	// Evacuated are the names of the zones that get no requests.
 	Evacuated []string
-	// Gateways is how many of them share the instances, zero if that is not known.
+	// Gateways is the number of gateways that share the instances, zero if it is not known.
 	Gateways int
-	// Suspects are the requests under which instances crashed.
+	// Suspects are the requests that are suspected of crashing instances.
 	Suspects directory.Suspects
-	// Keepers are the gateways that give out the places of instances.
+	// Keepers are the gateways that allocate the slots of instances.
 	Keepers []directory.Keeper
-	// Changed are the instances that changed since the earlier table, those that are gone too;
-	// all if Whole is true.
+	// Changed are the instances that changed since the earlier table, including those that
+	// are gone. If Whole is true, it holds all instances.
 	Changed []*directory.Instance
 	Whole   bool
-	// itemsRevision is the revision of the newest item.
+	// itemsRevision is the revision of the newest configuration item.
 	itemsRevision directory.Revision
-	// ranks are those of the priorities of routes and tenants.
-	ranks ranks
-	// tenants are found by the hashes of their API keys.
-	tenants tenants
-	// hosts has the routes of each host, the longest prefix first.
-	hosts    map[string][]*directory.Route
-	services map[string]*Service
-	// parsed has the routes by name, to be taken over while their items stay.
-	parsed map[string]parsedRoute
+	ranks         ranks
+	tenants       tenantIndex
+	// routesByHost holds the routes of each host, the longest prefix first.
+	routesByHost map[string][]*directory.Route
+	services     map[string]*Service
+	// parsedRoutes holds the routes by name. The next table reuses those whose items have
+	// not changed.
+	parsedRoutes map[string]parsedRoute
 }
 
 type parsedRoute struct {
@@ -66,8 +65,8 @@
 	route    *directory.Route
 }
 
-// Build returns the table of a directory. What did not change is taken over from an
-// earlier table of the same directory, which may be nil.
+// Build returns the table of a directory. Unchanged parts are reused from earlier, a
+// previous table of the same directory, which may be nil.
 func Build(view *directory.Directory, earlier *Table) *Table {
 	table := &Table{Revision: view.Revision(), itemsRevision: view.ItemsRevision(), services: make(map[string]*Service), Gateways: view.Gateways(), Keepers: view.Keepers(), Suspects: view.Suspects()}
 	for _, zone := range view.Zones() {
@@ -76,11 +75,11 @@
 		}
 	}
 	if earlier != nil && earlier.itemsRevision == table.itemsRevision {
-		table.keepItems(earlier)
+		table.reuseItems(earlier)
 	} else {
-		table.readItems(view, earlier)
+		table.parseItems(view, earlier)
 	}
-	table.takeInstances(view, earlier)
+	table.loadInstances(view, earlier)
 	for name, service := range table.services {
 		service.Layout = view.Layout(name)
 		service.Throttles = view.Throttles(name)
@@ -88,12 +87,13 @@
 	return table
 }
 
-// takeInstances takes the instances of an earlier table with what changed since then, or all.
-func (t *Table) takeInstances(view *directory.Directory, earlier *Table) {
+// loadInstances sets the instances of all services: those of the earlier table with the
+// changes since then if they are known, else all of the directory.
+func (t *Table) loadInstances(view *directory.Directory, earlier *Table) {
 	if earlier != nil && t.sameServices(earlier) {
 		if changed, known := view.ChangedInstances(earlier.Revision); known {
-			t.keepInstances(earlier)
-			t.changeInstances(view, changed)
+			t.reuseInstances(earlier)
+			t.updateInstances(view, changed)
 			return
 		}
 	}
@@ -106,42 +106,43 @@
 	}
 }
 
-// sameServices reports whether the services are configured as in an earlier table.
+// sameServices reports whether the services are configured as in the earlier table.
 func (t *Table) sameServices(earlier *Table) bool {
 	return maps.EqualFunc(t.services, earlier.services, func(a, b *Service) bool { return a.Config == b.Config })
 }
 
-// keepInstances takes over the instances of an earlier table with the same services.
-func (t *Table) keepInstances(earlier *Table) {
+// reuseInstances shares the instance lists of the earlier table, which has the same
+// services.
+func (t *Table) reuseInstances(earlier *Table) {
 	for name, service := range t.services {
 		service.Instances = earlier.services[name].Instances
 	}
 }
 
-// changeInstances takes those that changed, in the order of their identifiers. The lists of the
-// earlier table stay as they are.
-func (t *Table) changeInstances(view *directory.Directory, changed []directory.InstanceID) {
-	copied := make(map[string]bool)
+// updateInstances applies the changed instances, in the order of their identifiers. It
+// clones the lists that it modifies, because the earlier table shares them.
+func (t *Table) updateInstances(view *directory.Directory, changed []directory.InstanceID) {
+	cloned := make(map[string]bool)
 	for _, id := range changed {
 		instance, found := view.Find(id)
 		if !found {
-			continue // forgotten since; it had left before
+			continue // removed from the directory after it was gone
 		}
 		t.Changed = append(t.Changed, instance)
 		service, found := t.services[instance.Service]
 		if !found {
 			continue
 		}
-		if !copied[instance.Service] {
-			copied[instance.Service] = true
+		if !cloned[instance.Service] {
+			cloned[instance.Service] = true
 			service.Instances = slices.Clone(service.Instances)
 		}
-		service.change(instance)
+		service.updateInstance(instance)
 	}
 }
 
-// change takes an instance at its new state.
-func (s *Service) change(instance *directory.Instance) {
+// updateInstance inserts, replaces or deletes an instance according to its new state.
+func (s *Service) updateInstance(instance *directory.Instance) {
 	position, found := s.position(instance.ID)
 	switch {
 	case instance.State == directory.InstanceGone && found:
@@ -154,11 +155,11 @@
 	}
 }
 
-// keepItems takes over what an earlier table read from the same items.
-func (t *Table) keepItems(earlier *Table) {
+// reuseItems takes over what the earlier table parsed from the same items.
+func (t *Table) reuseItems(earlier *Table) {
 	t.Limits = earlier.Limits
-	t.hosts = earlier.hosts
-	t.parsed = earlier.parsed
+	t.routesByHost = earlier.routesByHost
+	t.parsedRoutes = earlier.parsedRoutes
 	t.ranks = earlier.ranks
 	t.tenants = earlier.tenants
 	for name, service := range earlier.services {
@@ -166,24 +167,25 @@
 	}
 }
 
-// readItems reads the items anew, but for routes that did not change.
-func (t *Table) readItems(view *directory.Directory, earlier *Table) {
-	t.hosts = make(map[string][]*directory.Route)
-	t.parsed = make(map[string]parsedRoute)
-	t.tenants = newTenants()
+// parseItems parses the items, except for unchanged routes and tenants, which are reused
+// from the earlier table.
+func (t *Table) parseItems(view *directory.Directory, earlier *Table) {
+	t.routesByHost = make(map[string][]*directory.Route)
+	t.parsedRoutes = make(map[string]parsedRoute)
+	t.tenants = newTenantIndex()
 	for _, item := range view.Items() {
 		t.addItem(item, earlier)
 	}
-	t.ranks = newRanks(t.parsed, t.tenants.byName)
-	for _, routes := range t.hosts {
+	t.ranks = newRanks(t.parsedRoutes, t.tenants.byName)
+	for _, routes := range t.routesByHost {
 		slices.SortFunc(routes, func(a, b *directory.Route) int {
 			return cmp.Or(cmp.Compare(len(b.Prefix), len(a.Prefix)), cmp.Compare(b.Version, a.Version), cmp.Compare(a.Name, b.Name))
 		})
 	}
 }
 
-// addItem adds an item that stands. Items were checked before they were taken, so
-// that one which cannot be read is left out.
+// addItem adds an item unless it was dropped. Items were validated when they were
+// accepted, so an item that cannot be parsed is skipped without an error.
 func (t *Table) addItem(item directory.Item, earlier *Table) {
 	if item.Key.Kind == directory.KindTenant {
 		t.tenants.add(item, earlier)
@@ -208,8 +210,8 @@
 
 func (t *Table) addRoute(item directory.Item, earlier *Table) {
 	parsed := parsedRoute{revision: item.Revision}
-	if earlier != nil && earlier.parsed[item.Key.Name].revision == item.Revision {
-		parsed = earlier.parsed[item.Key.Name]
+	if earlier != nil && earlier.parsedRoutes[item.Key.Name].revision == item.Revision {
+		parsed = earlier.parsedRoutes[item.Key.Name]
 	}
 	if parsed.route == nil {
 		route, err := item.Route()
@@ -218,22 +220,22 @@
 		}
 		parsed.route = &route
 	}
-	t.parsed[item.Key.Name] = parsed
-	host := normalHost(parsed.route.Host)
-	t.hosts[host] = append(t.hosts[host], parsed.route)
+	t.parsedRoutes[item.Key.Name] = parsed
+	host := normalizeHost(parsed.route.Host)
+	t.routesByHost[host] = append(t.routesByHost[host], parsed.route)
 }
 
-// normalHost returns a host name in lower case and without a port.
-func normalHost(host string) string {
+// normalizeHost returns the host name in lower case and without a port.
+func normalizeHost(host string) string {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
 	}
 	return strings.ToLower(host)
 }
 
-// Route returns the route whose prefix is the longest that begins the path.
+// Route returns the host's route with the longest prefix of the path.
 func (t *Table) Route(host, path string) (*directory.Route, bool) {
-	for _, route := range t.hosts[normalHost(host)] {
+	for _, route := range t.routesByHost[normalizeHost(host)] {
 		if strings.HasPrefix(path, route.Prefix) {
 			return route, true
 		}
@@ -281,7 +283,7 @@
 	return all
 }
 
-// Knows reports whether an instance of any service is known and not gone.
+// Knows reports whether any service has the instance.
 func (t *Table) Knows(id directory.InstanceID) bool {
 	for _, service := range t.services {
 		if _, found := service.position(id); found {
--- a/internal/routing/tenants.go
+++ b/internal/routing/tenants.go
@@ -2,10 +2,12 @@
 
 import "github.com/thorntiller/thorntiller/internal/directory"
 
-// tenants are those of the directory.
-type tenants struct {
-	// configured is true once a tenant was configured, also if it is gone by now: requests
-	// need an API key from then on, so that taking the last tenant away lets nobody in.
+// tenantIndex finds the tenants of the directory by name and by the hash of
+// an API key.
+type tenantIndex struct {
+	// configured is true once any tenant has been configured, even if it was dropped later:
+	// requests need an API key from then on, so that removing the last tenant does not open
+	// the gateway to requests without a key.
 	configured bool
 	byName     map[string]parsedTenant
 	byKey      map[directory.KeyHash]*directory.Tenant
@@ -17,12 +19,12 @@
 	hashes   []directory.KeyHash
 }
 
-func newTenants() tenants {
-	return tenants{byName: make(map[string]parsedTenant), byKey: make(map[directory.KeyHash]*directory.Tenant)}
+func newTenantIndex() tenantIndex {
+	return tenantIndex{byName: make(map[string]parsedTenant), byKey: make(map[directory.KeyHash]*directory.Tenant)}
 }
 
-// add adds an item of the kind tenant. One that cannot be read has no keys.
-func (t *tenants) add(item directory.Item, earlier *Table) {
+// add adds an item of the kind tenant. A tenant that cannot be parsed has no keys.
+func (t *tenantIndex) add(item directory.Item, earlier *Table) {
 	t.configured = true
 	if item.Dropped {
 		return
--- a/internal/routing/tenants_test.go
+++ b/internal/routing/tenants_test.go
@@ -7,7 +7,7 @@
 	"github.com/thorntiller/thorntiller/internal/directory"
 )
 
-func tenantsOf(bodies ...string) string {
+func setTenantsPatch(bodies ...string) string {
 	list := ""
 	for index, body := range bodies {
 		if index > 0 {
@@ -18,10 +18,10 @@
 	return `{"set":{"tenants":[` + list + `]}}`
 }
 
-// TestKeysFollowTheItems: a key that is revoked, or passes to another tenant, is found so in
-// the next table; taking the last tenant away lets nobody in without a key.
+// TestKeysFollowTheItems: the next table reflects a key that is revoked or moves to another
+// tenant; removing the last tenant does not admit requests without a key.
 func TestKeysFollowTheItems(t *testing.T) {
-	table, view := build(t, nil, set(route("x", "a.example", "/x/", 1)))
+	table, view := buildTable(t, nil, setPatch(route("x", "a.example", "/x/", 1)))
 	if table.RequiresKeys() {
 		t.Error("keys are required before any tenant is configured")
 	}
@@ -36,33 +36,33 @@
 		}
 		table = Build(view, table)
 	}
-	owner := func(key string) string {
+	tenantOf := func(key string) string {
 		tenant, found := table.Tenant(key)
 		if !found {
 			return ""
 		}
 		return tenant.Name
 	}
-	apply(10, tenantsOf(`{"name":"a","api_keys":["k1","k2"],"version":1}`, `{"name":"b","api_keys":["k3"],"version":1}`))
-	if !table.RequiresKeys() || owner("k1") != "a" || owner("k3") != "b" || owner("") != "" || owner("k4") != "" {
-		t.Errorf("owners %q %q %q", owner("k1"), owner("k3"), owner("k4"))
+	apply(10, setTenantsPatch(`{"name":"a","api_keys":["k1","k2"],"version":1}`, `{"name":"b","api_keys":["k3"],"version":1}`))
+	if !table.RequiresKeys() || tenantOf("k1") != "a" || tenantOf("k3") != "b" || tenantOf("") != "" || tenantOf("k4") != "" {
+		t.Errorf("k1 belongs to %q, k3 to %q, k4 to %q", tenantOf("k1"), tenantOf("k3"), tenantOf("k4"))
 	}
-	apply(11, tenantsOf(`{"name":"a","api_keys":["k1"],"version":2}`, `{"name":"b","api_keys":["k3","k2"],"version":2}`))
-	if owner("k2") != "b" || owner("k1") != "a" {
-		t.Errorf("after the key passed on: k2 is of %q, k1 of %q", owner("k2"), owner("k1"))
+	apply(11, setTenantsPatch(`{"name":"a","api_keys":["k1"],"version":2}`, `{"name":"b","api_keys":["k3","k2"],"version":2}`))
+	if tenantOf("k2") != "b" || tenantOf("k1") != "a" {
+		t.Errorf("after the key moved: k2 belongs to %q, k1 to %q", tenantOf("k2"), tenantOf("k1"))
 	}
-	apply(12, tenantsOf(`{"name":"a","api_keys":[],"version":3}`))
-	if owner("k1") != "" {
-		t.Errorf("a revoked key is of %q", owner("k1"))
+	apply(12, setTenantsPatch(`{"name":"a","api_keys":[],"version":3}`))
+	if tenantOf("k1") != "" {
+		t.Errorf("a revoked key belongs to %q", tenantOf("k1"))
 	}
 	apply(13, `{"remove":{"tenants":[{"name":"a","version":9},{"name":"b","version":9}]}}`)
-	if !table.RequiresKeys() || owner("k3") != "" {
-		t.Error("once the last tenant is gone, requests must need a key still")
+	if !table.RequiresKeys() || tenantOf("k3") != "" {
+		t.Error("requests must still need a key after the last tenant was removed")
 	}
 }
 
-// TestTenantsPriorityGoesFirst: before that of the route, which decides among the requests
-// of equal tenants.
+// TestTenantsPriorityGoesFirst: the tenant's priority takes precedence over the route's, which
+// orders only requests whose tenants have the same priority.
 func TestTenantsPriorityGoesFirst(t *testing.T) {
 	zero, one := 0, 1
 	gold, plain, none := &directory.Tenant{Name: "gold", Priority: &zero}, &directory.Tenant{Name: "plain", Priority: &one}, &directory.Tenant{Name: "none"}
@@ -73,26 +73,26 @@
 		tenants[tenant.Name] = parsedTenant{tenant: tenant}
 	}
 	r := newRanks(routes, tenants)
-	last := 2.0
+	previous := 2.0
 	for _, each := range []struct {
 		tenant *directory.Tenant
 		route  *directory.Route
 	}{{gold, urgent}, {gold, patient}, {plain, urgent}, {plain, patient}, {none, urgent}, {none, patient}} {
 		got := r.urgency(each.route, each.tenant)
-		if got >= last || got < 0 || got > 1 {
-			t.Errorf("%s on %s: urgency %.3f after %.3f", each.tenant.Name, each.route.Name, got, last)
+		if got >= previous || got < 0 || got > 1 {
+			t.Errorf("%s on %s: urgency %.3f after %.3f", each.tenant.Name, each.route.Name, got, previous)
 		}
-		last = got
+		previous = got
 	}
 	alone := newRanks(routes, nil)
 	if alone.urgency(urgent, nil) != 1 || alone.urgency(patient, nil) != 0 {
-		t.Error("without tenants the priorities of routes decide alone")
+		t.Error("without tenants, only the priorities of routes must count")
 	}
 }
 
-// BenchmarkTenantOfKey looks a key up among 100,000.
+// BenchmarkTenantOfKey looks up a key among 100,000.
 func BenchmarkTenantOfKey(b *testing.B) {
-	table := &Table{tenants: newTenants()}
+	table := &Table{tenants: newTenantIndex()}
 	const keys = 100_000
 	for index := range keys {
 		tenant := &directory.Tenant{Name: fmt.Sprint(index)}
