--- a/internal/forward/attempt.go
+++ b/internal/forward/attempt.go
@@ -11,34 +11,37 @@
 	"github.com/thorntiller/thorntiller/internal/fault"
 )
 
-// Attempt is one sending of a request. Request must carry the attempt's
-// identifier in the header that Settings name. Response takes a whole answer.
+// Attempt is one attempt of a request. Request must carry the attempt's identifier in
+// the header Settings.IDHeader. Response receives the complete answer.
 type Attempt struct {
 	ID       string
 	Request  *fasthttp.Request
 	Response *fasthttp.Response
-	// Timeout bounds the whole attempt.
+	// Timeout is the maximum duration of the whole attempt.
 	Timeout time.Duration
-	// Write writes a part of the request by a function, in its turn; nil for at once.
+	// Write, if not nil, schedules each write of the request: it must call write with data
+	// when it is the attempt's turn. Nil means that data is written at once.
 	Write func(data []byte, write func([]byte) (int, error)) (int, error)
-	// Check is asked right before the first byte is written, when the wait for a connection and
-	// for a turn is over. Its failure ends the attempt; nothing was written then. Nil for no check.
+	// Check, if not nil, is called right before the first byte is written, after the wait for a
+	// connection and in Write. If it returns an error, nothing is written and the attempt ends
+	// with that error.
 	Check func() *fault.Error
-	// Interrupt gives the attempt up when the caller leaves; nil for never.
+	// Interrupt, if not nil, can abort the attempt from another goroutine, for example when the
+	// caller has left.
 	Interrupt *Interrupt
 }
 
-// Do makes the attempt. A nil error means that a whole answer to this attempt
-// is in Response, which may be the back end's refusal. Otherwise the error is
-// a *fault.Error; with ConnectFailed and QueueFull nothing was written.
+// Do makes the attempt. A nil error means that Response holds the complete answer to
+// this attempt, which may be the back end's refusal. With the kinds ConnectFailed and
+// QueueFull nothing was written.
 func (c *Client) Do(attempt *Attempt) *fault.Error {
-	end := time.Now().Add(attempt.Timeout)
+	deadline := time.Now().Add(attempt.Timeout)
 	for {
-		pooled, err := c.pool.AcquireConn(time.Until(end), false)
+		pooled, err := c.pool.AcquireConn(time.Until(deadline), false)
 		if err != nil {
 			return acquireFailure(err)
 		}
-		connection := pooled.Conn().(*countedConnection)
+		connection := pooled.Conn().(*countingConnection)
 		if connection.used && !connection.reusable() {
 			c.pool.CloseConn(pooled)
 			continue
@@ -47,8 +50,8 @@
 			c.pool.ReleaseConn(pooled)
 			return fault.New(fault.CancelledBeforeStart, "the caller left before the request was sent")
 		}
-		connection.begin(attempt)
-		reusable, failure := c.exchange(connection, attempt, end)
+		connection.beginAttempt(attempt)
+		reusable, failure := c.exchange(connection, attempt, deadline)
 		interrupted := !attempt.Interrupt.detach()
 		if reusable && !interrupted {
 			c.pool.ReleaseConn(pooled)
@@ -66,10 +69,10 @@
 	return fault.Newf(fault.ConnectFailed, "connect to the back end: %v", err)
 }
 
-// exchange writes the request and reads the answer. It reports whether the
-// connection may serve another attempt.
-func (c *Client) exchange(connection *countedConnection, attempt *Attempt, end time.Time) (bool, *fault.Error) {
-	if err := connection.SetDeadline(end); err != nil {
+// exchange writes the request and reads the answer. It reports whether the connection
+// may be reused for another attempt.
+func (c *Client) exchange(connection *countingConnection, attempt *Attempt, deadline time.Time) (bool, *fault.Error) {
+	if err := connection.SetDeadline(deadline); err != nil {
 		return false, fault.Newf(fault.ConnectFailed, "set deadline: %v", err)
 	}
 	if err := c.write(connection, attempt.Request); err != nil {
@@ -84,7 +87,7 @@
 		return false, fault.Newf(fault.AnswerMismatched, "the answer carries identifier %.64q instead of %q", got, attempt.ID)
 	}
 	reusable := !attempt.Response.ConnectionClose() && reader.Buffered() == 0
-	connection.keepFor(attempt.Response.Header.Peek(fasthttp.HeaderKeepAlive))
+	connection.setKeepAlive(attempt.Response.Header.Peek(fasthttp.HeaderKeepAlive))
 	return reusable, nil
 }
 
@@ -97,12 +100,12 @@
 	return writer.Flush()
 }
 
-func writeFailure(connection *countedConnection, err error) *fault.Error {
+func writeFailure(connection *countingConnection, err error) *fault.Error {
 	var rejected *fault.Error
 	if eris.As(err, &rejected) {
 		return rejected
 	}
-	if connection.written == 0 {
+	if connection.bytesWritten == 0 {
 		return fault.Newf(fault.ConnectFailed, "nothing could be written: %v", err)
 	}
 	if isTimeout(err) {
@@ -111,40 +114,41 @@
 	return fault.Newf(fault.ConnectionLost, "the connection broke while the request was written: %v", err)
 }
 
-func readFailure(connection *countedConnection, err error) *fault.Error {
+func readFailure(connection *countingConnection, err error) *fault.Error {
 	switch {
 	case isTimeout(err):
 		return fault.New(fault.DeadlineExceeded, "the deadline passed before the back end's answer was whole")
-	case connection.read == 0:
+	case connection.bytesRead == 0:
 		return fault.Newf(fault.ConnectionLost, "the connection broke before an answer came: %v", err)
 	default:
 		return fault.Newf(fault.AnswerTruncated, "the answer could not be read whole: %v", err)
 	}
 }
 
-// isTimeout asks for the one method Timeout, not for a net.Error: fasthttp turns
-// a read deadline that passed into an error of its own, which is no net.Error.
+// isTimeout checks for the method Timeout rather than for a net.Error, because fasthttp
+// reports an exceeded read deadline as an error of its own that is not a net.Error.
 func isTimeout(err error) bool {
 	var timeout interface{ Timeout() bool }
 	return eris.As(err, &timeout) && timeout.Timeout()
 }
 
-// errUnframed: the end of the answer's body is the end of the connection, so
-// that a cut answer would look like a whole one.
+// errUnframed rejects an answer whose body ends with the connection, because a truncated
+// answer would look complete.
 var errUnframed = eris.New("the answer has neither Content-Length nor chunks")
 
 const maxInterimAnswers = 5
 
-// readAnswer reads one whole answer.
+// readAnswer reads one complete answer.
 func (c *Client) readAnswer(reader *bufio.Reader, attempt *Attempt) error {
 	response := attempt.Response
 	if err := readFinalHeader(reader, response); err != nil {
 		return err
 	}
-	if bodyless(attempt.Request, response) {
+	if hasNoBody(attempt.Request, response) {
 		response.SkipBody = attempt.Request.Header.IsHead()
 		return nil
 	}
+	// ContentLength returns these values if the header has no Content-Length.
 	const identity = -2
 	const chunked = -1
 	length := response.Header.ContentLength()
@@ -172,7 +176,7 @@
 	return eris.New("too many interim answers")
 }
 
-func bodyless(request *fasthttp.Request, response *fasthttp.Response) bool {
+func hasNoBody(request *fasthttp.Request, response *fasthttp.Response) bool {
 	status := response.StatusCode()
 	return request.Header.IsHead() || status == fasthttp.StatusNoContent || status == fasthttp.StatusNotModified
 }
--- a/internal/forward/client.go
+++ b/internal/forward/client.go
@@ -10,38 +10,39 @@
 	"github.com/thorntiller/thorntiller/internal/wire"
 )
 
-// Settings bound the connections to one back end.
+// Settings configure a Client.
 type Settings struct {
-	// ConnectTimeout bounds the making of a connection.
+	// ConnectTimeout is the maximum duration of opening a connection.
 	ConnectTimeout time.Duration
-	// IdleTimeout closes connections that were not used for so long. It must be
-	// shorter than the back end's own.
+	// IdleTimeout is the time after which an unused connection is closed. It must be
+	// shorter than the back end's own idle timeout.
 	IdleTimeout time.Duration
-	// MaxConnections bounds the open connections.
+	// MaxConnections is the maximum number of open connections for attempts.
 	MaxConnections int
-	// ControlConnections bounds further ones for cancels and health checks.
+	// ControlConnections is the maximum number of additional connections for cancels and
+	// health checks.
 	ControlConnections int
-	// MaxAnswerBytes bounds the body of an answer.
+	// MaxAnswerBytes is the maximum size of an answer's body.
 	MaxAnswerBytes int
 	// IDHeader names the header that carries the attempt's identifier, in the
 	// request and in its answer; empty means backendapi.HeaderRequestID.
 	IDHeader string
-	// Traffic is told of what the connections for attempts carry; nil for nobody.
+	// Traffic, if not nil, is notified of opened connections and of transferred bytes.
 	Traffic Traffic
-	// AcceptUnframed takes an answer whose body ends with its connection as whole,
+	// AcceptUnframed accepts an answer whose body ends with its connection as complete,
 	// unless the connection is reset.
 	AcceptUnframed bool
 }
 
-// Traffic is told of connections and of their bytes. It must be safe for concurrent use.
+// Traffic is notified of connections and of their bytes. It must be safe for concurrent use.
 type Traffic interface {
-	// Opened is called for each connection that was made.
+	// Opened is called after a connection was opened.
 	Opened()
-	// Passed is called with the bytes that were read or written.
+	// Passed is called after each read or write with the number of bytes.
 	Passed(received, sent int)
 }
 
-// noTraffic tells nobody.
+// noTraffic ignores all notifications.
 type noTraffic struct{}
 
 func (noTraffic) Opened()         {}
@@ -52,13 +53,13 @@
 	address  string
 	settings Settings
 	pool     *fasthttp.HostClient
-	// control holds the connections for cancels and health checks, so that
-	// they need not wait behind requests.
+	// control holds separate connections for cancels and health checks, so that they do
+	// not wait behind requests.
 	control *fasthttp.HostClient
 }
 
-// NewClient returns a client for the back end at the address, IP:port. No
-// connection is made before the first attempt.
+// NewClient returns a client for the back end at the address, IP:port. The first attempt
+// opens the first connection.
 func NewClient(address string, settings Settings) *Client {
 	if settings.IDHeader == "" {
 		settings.IDHeader = backendapi.HeaderRequestID
@@ -74,8 +75,8 @@
 	}
 }
 
-// newPool returns a pool of connections. The pool's own way of sending, Do,
-// is used for cancels and health checks alone, and resends nothing either.
+// newPool returns a pool of connections. The pool's own Do method is only used for
+// cancels and health checks and never resends.
 func newPool(address string, settings Settings, connections int) *fasthttp.HostClient {
 	return &fasthttp.HostClient{
 		Addr:                      address,
@@ -95,10 +96,10 @@
 	return false, false
 }
 
-func dialer(bound time.Duration, traffic Traffic) fasthttp.DialFuncWithTimeout {
+func dialer(maxTimeout time.Duration, traffic Traffic) fasthttp.DialFuncWithTimeout {
 	return func(address string, timeout time.Duration) (net.Conn, error) {
-		if timeout <= 0 || timeout > bound {
-			timeout = bound
+		if timeout <= 0 || timeout > maxTimeout {
+			timeout = maxTimeout
 		}
 		connection, err := net.DialTimeout("tcp", address, timeout)
 		if err != nil {
@@ -106,13 +107,14 @@
 		}
 		wire.EndOnSilence(connection, wire.SilenceTimeout)
 		traffic.Opened()
-		return &countedConnection{Conn: connection, traffic: traffic}, nil
+		return &countingConnection{Conn: connection, traffic: traffic}, nil
 	}
 }
 
-// SetMaxConnections changes the bound on connections; open ones stay.
-func (c *Client) SetMaxConnections(bound int) {
-	c.pool.SetMaxConns(bound)
+// SetMaxConnections changes the maximum number of connections for attempts. Open
+// connections stay open.
+func (c *Client) SetMaxConnections(limit int) {
+	c.pool.SetMaxConns(limit)
 }
 
 // Connections returns the number of open connections for attempts.
@@ -120,7 +122,7 @@
 	return c.pool.ConnsCount()
 }
 
-// CloseIdle closes the connections that are not in use.
+// CloseIdle closes all idle connections.
 func (c *Client) CloseIdle() {
 	c.pool.CloseIdleConnections()
 	c.control.CloseIdleConnections()
--- a/internal/forward/control.go
+++ b/internal/forward/control.go
@@ -10,8 +10,8 @@
 	"github.com/thorntiller/thorntiller/internal/backendapi"
 )
 
-// Cancel asks the back end to give up an attempt. It reports true only when
-// the back end promised that the attempt never started and never will.
+// Cancel asks the back end to cancel an attempt. It returns true only if the back end
+// guarantees that the attempt never started and never will.
 func (c *Client) Cancel(attemptID string, timeout time.Duration) (bool, error) {
 	body, err := json.Marshal(backendapi.CancelRequest{RequestID: attemptID})
 	if err != nil {
@@ -31,12 +31,13 @@
 	if err := json.Unmarshal(response.Body(), &answer); err != nil {
 		return false, eris.Wrap(err, "decode cancel answer")
 	}
-	proved := response.StatusCode() == fasthttp.StatusOK &&
+	neverStarted := response.StatusCode() == fasthttp.StatusOK &&
 		answer.RequestID == attemptID && answer.Outcome == backendapi.CancelNeverStarted
-	return proved, nil
+	return neverStarted, nil
 }
 
-// Healthy asks the back end's health endpoint, whose answer is only a hint.
+// Healthy reports whether the back end's health endpoint answers with status 200. The
+// result is only a hint.
 func (c *Client) Healthy(timeout time.Duration) bool {
 	request := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(request)
--- a/internal/forward/doc.go
+++ b/internal/forward/doc.go
@@ -1,5 +1,5 @@
-// Package forward sends one attempt of a request to one back end and says what
-// became of it in terms of package fault. It never sends anything twice by
-// itself, counts the bytes written so that "nothing was written" is a proof,
-// and closes each connection whose answer was late, cut short or not its own.
+// Package forward sends one attempt of a request to one back end and reports the
+// result as an error of package fault. It never resends anything by itself, counts
+// the bytes written so that it can prove that nothing was written, and closes each
+// connection whose answer was late, truncated or belongs to another attempt.
 package forward
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -16,23 +16,23 @@
 	"github.com/thorntiller/thorntiller/internal/fault"
 )
 
-// script is a raw HTTP back end that counts arrivals.
-type script struct {
+// scriptedBackEnd is a back end that writes raw HTTP answers and counts requests by path.
+type scriptedBackEnd struct {
 	address string
 	mutex   sync.Mutex
 	arrived map[string]int
 	closed  chan struct{}
 }
 
-// serve answers each request with the bytes that reply returns; nil closes the
-// connection without an answer, and false closes it after the bytes.
-func serve(t *testing.T, reply func(path, id string) ([]byte, bool)) *script {
+// serve starts a back end that answers each request with the bytes that reply returns, and
+// then closes the connection if reply returns false.
+func serve(t *testing.T, reply func(path, id string) ([]byte, bool)) *scriptedBackEnd {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &script{address: listener.Addr().String(), arrived: make(map[string]int), closed: make(chan struct{}, 100)}
+	s := &scriptedBackEnd{address: listener.Addr().String(), arrived: make(map[string]int), closed: make(chan struct{}, 100)}
 	var group conc.WaitGroup
 	group.Go(func() {
 		for {
@@ -50,7 +50,7 @@
 	return s
 }
 
-func (s *script) serveConnection(connection net.Conn, reply func(path, id string) ([]byte, bool)) {
+func (s *scriptedBackEnd) serveConnection(connection net.Conn, reply func(path, id string) ([]byte, bool)) {
 	defer func() {
 		_ = connection.Close()
 		s.closed <- struct{}{}
@@ -65,20 +65,20 @@
 		s.mutex.Lock()
 		s.arrived[path]++
 		s.mutex.Unlock()
-		answer, stay := reply(path, string(request.Header.Peek(backendapi.HeaderRequestID)))
-		if _, err := connection.Write(answer); err != nil || !stay {
+		answer, keepOpen := reply(path, string(request.Header.Peek(backendapi.HeaderRequestID)))
+		if _, err := connection.Write(answer); err != nil || !keepOpen {
 			return
 		}
 	}
 }
 
-func (s *script) arrivals(path string) int {
+func (s *scriptedBackEnd) arrivals(path string) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.arrived[path]
 }
 
-func framed(id string, length int, body string) []byte {
+func framedAnswer(id string, length int, body string) []byte {
 	return []byte("HTTP/1.1 200 OK\r\nThorntiller-Request-Id: " + id + "\r\nContent-Length: " + strconv.Itoa(length) + "\r\n\r\n" + body)
 }
 
@@ -100,31 +100,31 @@
 	return response, client.Do(&Attempt{ID: id, Request: &request, Response: response, Timeout: timeout})
 }
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// TestBrokenAnswers shows, for each way an answer can break, the kind, that the
-// request arrived once, and that the connection is not used again.
+// TestBrokenAnswers checks for each kind of broken answer which fault kind it yields, that
+// the request arrived once, and that the connection is not reused.
 func TestBrokenAnswers(t *testing.T) {
-	crowd := framed("x", 4, "fine") // an answer with a surplus one behind it
+	answer := framedAnswer("x", 4, "fine") // sent twice in "surplus answer behind"
 	for name, c := range map[string]struct {
-		answer []byte
-		stay   bool
-		want   fault.Kind
+		answer   []byte
+		keepOpen bool
+		want     fault.Kind
 	}{
 		"closed after reading":  {nil, false, fault.ConnectionLost},
-		"short body":            {framed("x", 10, "half"), false, fault.AnswerTruncated},
+		"short body":            {framedAnswer("x", 10, "half"), false, fault.AnswerTruncated},
 		"short header":          {[]byte("HTTP/1.1 200 OK\r\nThorn"), false, fault.AnswerTruncated},
 		"short chunk":           {[]byte("HTTP/1.1 200 OK\r\nThorntiller-Request-Id: x\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab"), false, fault.AnswerTruncated},
 		"no framing":            {[]byte("HTTP/1.1 200 OK\r\nThorntiller-Request-Id: x\r\n\r\nall of it?"), false, fault.AnswerTruncated},
-		"too long":              {framed("x", 5000, strings.Repeat("a", 5000)), true, fault.AnswerTruncated},
-		"another's answer":      {framed("y", 4, "fine"), true, fault.AnswerMismatched},
+		"too long":              {framedAnswer("x", 5000, strings.Repeat("a", 5000)), true, fault.AnswerTruncated},
+		"another's answer":      {framedAnswer("y", 4, "fine"), true, fault.AnswerMismatched},
 		"no identifier":         {[]byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"), true, fault.AnswerMismatched},
-		"surplus answer behind": {append(crowd, crowd...), true, ""},
+		"surplus answer behind": {append(answer, answer...), true, ""},
 	} {
 		for _, method := range []string{fasthttp.MethodGet, fasthttp.MethodPost} {
-			s := serve(t, func(string, string) ([]byte, bool) { return c.answer, c.stay })
+			s := serve(t, func(string, string) ([]byte, bool) { return c.answer, c.keepOpen })
 			client := newTestClient(t, s.address)
-			_, failure := send(client, method, "/p", "x", patience)
+			_, failure := send(client, method, "/p", "x", testTimeout)
 			got := fault.Kind("")
 			if failure != nil {
 				got = failure.Kind
@@ -147,7 +147,7 @@
 		if path == "/late" {
 			<-release
 		}
-		return framed(id, len(path), path), true
+		return framedAnswer(id, len(path), path), true
 	})
 	t.Cleanup(releaseLate)
 	client := newTestClient(t, s.address)
@@ -156,7 +156,7 @@
 	}
 	releaseLate()
 	for _, id := range []string{"2", "3"} {
-		response, failure := send(client, fasthttp.MethodPost, "/"+id, id, patience)
+		response, failure := send(client, fasthttp.MethodPost, "/"+id, id, testTimeout)
 		if failure != nil || string(response.Body()) != "/"+id {
 			t.Errorf("got %q, %v", response.Body(), failure)
 		}
@@ -166,13 +166,13 @@
 	}
 }
 
-// TestClosedKeptConnection shows that a kept connection, closed by the peer
-// while idle, costs nothing: the request goes over a new one, once.
+// TestClosedKeptConnection: if the peer has closed an idle pooled connection, the request
+// does not fail but is sent once, over a new connection.
 func TestClosedKeptConnection(t *testing.T) {
-	s := serve(t, func(_, id string) ([]byte, bool) { return framed(id, 0, ""), id != "1" })
+	s := serve(t, func(_, id string) ([]byte, bool) { return framedAnswer(id, 0, ""), id != "1" })
 	client := newTestClient(t, s.address)
 	for i, id := range []string{"1", "2", "3"} {
-		if _, failure := send(client, fasthttp.MethodPost, "/p", id, patience); failure != nil {
+		if _, failure := send(client, fasthttp.MethodPost, "/p", id, testTimeout); failure != nil {
 			t.Fatalf("request %s: %v", id, failure)
 		}
 		if id == "1" {
@@ -191,7 +191,7 @@
 	}
 	_ = listener.Close()
 	client := newTestClient(t, listener.Addr().String())
-	if _, failure := send(client, fasthttp.MethodPost, "/p", "1", patience); failure == nil || failure.Kind != fault.ConnectFailed {
+	if _, failure := send(client, fasthttp.MethodPost, "/p", "1", testTimeout); failure == nil || failure.Kind != fault.ConnectFailed {
 		t.Errorf("got %v", failure)
 	}
 	if client.Connections() != 0 {
@@ -199,12 +199,12 @@
 	}
 	near, far := net.Pipe()
 	_ = far.Close()
-	broken := &countedConnection{Conn: near, traffic: noTraffic{}}
+	broken := &countingConnection{Conn: near, traffic: noTraffic{}}
 	_, writeErr := broken.Write([]byte("x"))
 	if got := writeFailure(broken, writeErr); got.Kind != fault.ConnectFailed {
 		t.Errorf("nothing written: got %v", got)
 	}
-	broken.written = 1
+	broken.bytesWritten = 1
 	if got := writeFailure(broken, writeErr); got.Kind != fault.ConnectionLost {
 		t.Errorf("one byte written: got %v", got)
 	}
@@ -217,15 +217,15 @@
 	}
 	current := ""
 	s := serve(t, func(path, _ string) ([]byte, bool) {
-		return framed("", len(answers[current]), answers[current]), true
+		return framedAnswer("", len(answers[current]), answers[current]), true
 	})
 	client := newTestClient(t, s.address)
 	for current = range answers {
-		if proved, _ := client.Cancel(current, patience); proved != (current == "1") {
+		if proved, _ := client.Cancel(current, testTimeout); proved != (current == "1") {
 			t.Errorf("cancel %s: proved %v", current, proved)
 		}
 	}
-	if !client.Healthy(patience) {
+	if !client.Healthy(testTimeout) {
 		t.Error("not healthy")
 	}
 }
@@ -257,25 +257,25 @@
 	}
 }
 
-// TestReuseAfterDeadline: the deadline of an attempt that has ended says nothing of
-// its connection. It was taken for a broken one once the deadline had passed.
+// TestReuseAfterDeadline guards against closing a pooled connection as broken because the
+// deadline of the last attempt on it has passed.
 func TestReuseAfterDeadline(t *testing.T) {
-	s := serve(t, func(_, id string) ([]byte, bool) { return framed(id, 4, "fine"), true })
+	s := serve(t, func(_, id string) ([]byte, bool) { return framedAnswer(id, 4, "fine"), true })
 	client := newTestClient(t, s.address)
 	const short = 50 * time.Millisecond
 	if _, failure := send(client, fasthttp.MethodGet, "/p", "x", short); failure != nil {
 		t.Fatal(failure)
 	}
 	time.Sleep(2 * short)
-	if _, failure := send(client, fasthttp.MethodGet, "/p", "y", patience); failure != nil {
+	if _, failure := send(client, fasthttp.MethodGet, "/p", "y", testTimeout); failure != nil {
 		t.Fatal(failure)
 	}
 	select {
 	case <-s.closed:
-		t.Error("the kept connection was closed")
+		t.Error("the pooled connection was closed")
 	default:
 	}
 	if client.Connections() != 1 {
-		t.Errorf("%d connections, want the one that was kept", client.Connections())
+		t.Errorf("%d connections, want the one pooled connection", client.Connections())
 	}
 }
--- a/internal/forward/interrupt.go
+++ b/internal/forward/interrupt.go
@@ -5,25 +5,25 @@
 	"sync"
 )
 
-// Interrupt gives an attempt up from another goroutine, by closing its connection:
-// most back ends then stop work on the request. The zero value is ready for use.
+// Interrupt aborts an attempt from another goroutine by closing its connection; most
+// back ends then stop working on the request. The zero value is ready for use.
 type Interrupt struct {
-	mutex sync.Mutex
-	fired bool
-	open  net.Conn
+	mutex      sync.Mutex
+	fired      bool
+	connection net.Conn
 }
 
-// Fire gives up the attempt that runs and refuses later ones.
+// Fire aborts the running attempt and makes later ones fail before they are sent.
 func (i *Interrupt) Fire() {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	i.fired = true
-	if i.open != nil {
-		_ = i.open.Close() // the attempt fails in any case
+	if i.connection != nil {
+		_ = i.connection.Close() // the attempt fails regardless of the result
 	}
 }
 
-// Fired reports whether the attempt was given up.
+// Fired reports whether Fire was called.
 func (i *Interrupt) Fired() bool {
 	if i == nil {
 		return false
@@ -33,8 +33,8 @@
 	return i.fired
 }
 
-// attach names the connection of the attempt that begins. It reports false if the
-// attempt was given up before.
+// attach sets the connection of an attempt that starts. It reports false if Fire was
+// called before.
 func (i *Interrupt) attach(connection net.Conn) bool {
 	if i == nil {
 		return true
@@ -44,17 +44,17 @@
 	if i.fired {
 		return false
 	}
-	i.open = connection
+	i.connection = connection
 	return true
 }
 
-// detach ends the attempt. It reports false if the attempt was given up.
+// detach clears the connection after the attempt. It reports false if Fire was called.
 func (i *Interrupt) detach() bool {
 	if i == nil {
 		return true
 	}
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	i.open = nil
+	i.connection = nil
 	return !i.fired
 }
--- a/internal/forward/interrupt_test.go
+++ b/internal/forward/interrupt_test.go
@@ -11,15 +11,15 @@
 	"github.com/thorntiller/thorntiller/internal/fault"
 )
 
-func attemptOf(id string, interrupt *Interrupt) *Attempt {
+func newAttempt(id string, interrupt *Interrupt) *Attempt {
 	request := &fasthttp.Request{}
 	request.Header.SetRequestURI("/p")
 	request.Header.SetHost("back-end")
 	request.Header.Set("X-Id", id)
-	return &Attempt{ID: id, Request: request, Response: &fasthttp.Response{}, Timeout: patience, Interrupt: interrupt}
+	return &Attempt{ID: id, Request: request, Response: &fasthttp.Response{}, Timeout: testTimeout, Interrupt: interrupt}
 }
 
-func dialectClient(t *testing.T, address string) *Client {
+func newUnframedClient(t *testing.T, address string) *Client {
 	client := NewClient(address, Settings{
 		ConnectTimeout: 5 * time.Second, IdleTimeout: time.Minute, MaxConnections: 2, MaxAnswerBytes: 1000,
 		IDHeader: "X-Id", AcceptUnframed: true,
@@ -28,8 +28,8 @@
 	return client
 }
 
-// TestInterrupt: an attempt whose caller leaves ends at once, its connection is not
-// used again, and an attempt after that is not made.
+// TestInterrupt: Fire ends the running attempt at once, its connection is not reused, and a
+// later attempt with the same Interrupt is not sent.
 func TestInterrupt(t *testing.T) {
 	arrived := make(chan struct{}, 2)
 	release := make(chan struct{})
@@ -39,18 +39,18 @@
 		return nil, false
 	})
 	defer close(release)
-	client := dialectClient(t, s.address)
+	client := newUnframedClient(t, s.address)
 	interrupt := &Interrupt{}
 	var failure *fault.Error
 	var group conc.WaitGroup
-	group.Go(func() { failure = client.Do(attemptOf("x", interrupt)) })
+	group.Go(func() { failure = client.Do(newAttempt("x", interrupt)) })
 	<-arrived
 	interrupt.Fire()
 	group.Wait()
 	if failure == nil || failure.Kind != fault.ConnectionLost || client.Connections() != 0 {
 		t.Errorf("failure %v, %d connections", failure, client.Connections())
 	}
-	if again := client.Do(attemptOf("y", interrupt)); again == nil || again.Kind != fault.CancelledBeforeStart {
+	if again := client.Do(newAttempt("y", interrupt)); again == nil || again.Kind != fault.CancelledBeforeStart {
 		t.Errorf("an attempt after that: %v", again)
 	}
 	if !interrupt.Fired() || len(arrived) != 0 {
@@ -58,14 +58,14 @@
 	}
 }
 
-// TestUnframedAnswer: where it is accepted, an answer that ends with its connection is
-// whole.
+// TestUnframedAnswer: with AcceptUnframed, an answer that ends with its connection is
+// complete.
 func TestUnframedAnswer(t *testing.T) {
 	s := serve(t, func(string, string) ([]byte, bool) {
 		return []byte("HTTP/1.1 200 OK\r\nX-Id: x\r\n\r\nall of it"), false
 	})
-	attempt := attemptOf("x", nil)
-	if failure := dialectClient(t, s.address).Do(attempt); failure != nil {
+	attempt := newAttempt("x", nil)
+	if failure := newUnframedClient(t, s.address).Do(attempt); failure != nil {
 		t.Fatal(failure)
 	}
 	if got := string(attempt.Response.Body()); got != "all of it" {
@@ -73,8 +73,8 @@
 	}
 }
 
-// TestKeepAliveIsHeeded: a connection is not used again after the time that the back
-// end names.
+// TestKeepAliveIsHeeded: a connection is not reused after the timeout in the back end's
+// Keep-Alive header.
 func TestKeepAliveIsHeeded(t *testing.T) {
 	for seconds, kept := range map[int]bool{0: false, 1: true} {
 		s := serve(t, func(_, id string) ([]byte, bool) {
@@ -82,7 +82,7 @@
 		})
 		client := newTestClient(t, s.address)
 		for _, id := range []string{"x", "y"} {
-			if _, failure := send(client, fasthttp.MethodGet, "/p", id, patience); failure != nil {
+			if _, failure := send(client, fasthttp.MethodGet, "/p", id, testTimeout); failure != nil {
 				t.Fatal(failure)
 			}
 		}
@@ -92,10 +92,10 @@
 			}
 			continue
 		}
-		// The back end learns of the close a moment later.
+		// The back end notices the close asynchronously.
 		select {
 		case <-s.closed:
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Errorf("timeout=%d: the connection was kept", seconds)
 		}
 	}
--- a/internal/forward/refusal.go
+++ b/internal/forward/refusal.go
@@ -10,7 +10,7 @@
 	"github.com/thorntiller/thorntiller/internal/fault"
 )
 
-// refusalKinds maps each reason of a back end to its kind.
+// refusalKinds maps each refusal reason of a back end to its fault kind.
 var refusalKinds = map[backendapi.Refusal]fault.Kind{
 	backendapi.RefusalWrongEpoch:   fault.WrongEpoch,
 	backendapi.RefusalLeaseExpired: fault.LeaseExpired,
@@ -21,9 +21,9 @@
 	backendapi.RefusalCancelled:    fault.CancelledBeforeStart,
 }
 
-// RefusalOf returns the back end's refusal, or nil when the answer has none. A
-// reason outside the published interface proves nothing, so that the outcome
-// is taken as unknown.
+// RefusalOf returns the back end's refusal, or nil if the answer is not a refusal. A reason
+// that is not part of the back end interface proves nothing, so it yields a kind whose
+// outcome is unknown.
 func RefusalOf(response *fasthttp.Response) *fault.Error {
 	value := string(response.Header.Peek(backendapi.HeaderRefusal))
 	if value == "" {
@@ -36,14 +36,14 @@
 	return fault.Newf(kind, "the back end refused: %s", value)
 }
 
-// Load is a back end's report in the header of an answer.
+// Load is the load that a back end reports in a header of its answers.
 type Load struct {
 	Running int
 	Slots   int
 	Queued  int
 }
 
-// LoadOf returns the load report of an answer, if there is a valid one.
+// LoadOf returns the load report of an answer. It reports false if there is no valid one.
 func LoadOf(response *fasthttp.Response) (Load, bool) {
 	fields := strings.Split(string(response.Header.Peek(backendapi.HeaderLoad)), "/")
 	const expected = 3
