--- a/internal/router/admin.go
+++ b/internal/router/admin.go
@@ -9,19 +9,19 @@
 	"github.com/thorntiller/thorntiller/internal/telemetry"
 )
 
-// PathTable serves TableSummary on the admin listener.
+// PathTable is the path of the admin listener that serves a TableSummary.
 const PathTable = "/table"
 
-// TableSummary describes the routing table in force on a router.
+// TableSummary describes the current routing table of a router.
 type TableSummary struct {
 	table.Summary
-	// Services are the only ones that the router routes; empty for all.
+	// Services are the services that the router routes; empty for all.
 	Services []string `json:"routed_services,omitempty"`
-	// Proved is false before the table was first proved current.
+	// Proved is false until the table has been proved current for the first time.
 	Proved bool `json:"proved"`
 	// AgeMs is the time since the table was last proved current.
 	AgeMs int64 `json:"age_ms"`
-	// Fresh is true while the router serves requests by the table.
+	// Fresh is true while the table is recent enough for the router to serve requests.
 	Fresh bool `json:"fresh"`
 }
 
--- a/internal/router/answer.go
+++ b/internal/router/answer.go
@@ -13,7 +13,7 @@
 	"github.com/thorntiller/thorntiller/internal/forward"
 )
 
-// writeAnswer forwards a back end's whole answer.
+// writeAnswer forwards a back end's complete answer to the caller.
 func writeAnswer(outbound *fasthttp.Response, exchange *Exchange) {
 	answer := exchange.Answer
 	answer.Header.CopyTo(&outbound.Header)
@@ -37,7 +37,7 @@
 	}
 }
 
-// writeRefusal answers with the table row of the error's kind.
+// writeRefusal writes the error answer that package fault defines for the failure's kind.
 func writeRefusal(outbound *fasthttp.Response, callerID string, failure *fault.Error) {
 	row := fault.AnswerFor(failure.Kind)
 	body, err := json.Marshal(callerapi.RefusalBody{
--- a/internal/router/certificates.go
+++ b/internal/router/certificates.go
@@ -2,11 +2,12 @@
 
 import "net"
 
-// secure makes the listener for other routers demand certificates. Callers'
-// connections stay as they are: they speak their usual protocol.
-func (r *Router) secure(inner net.Listener) net.Listener {
+// tlsListener returns a listener that requires certificates from other routers, or the
+// listener itself if the router has none. It is not used for callers' connections, which
+// stay plain HTTP.
+func (r *Router) tlsListener(listener net.Listener) net.Listener {
 	if r.certificates == nil {
-		return inner
+		return listener
 	}
-	return r.certificates.Listener(inner)
+	return r.certificates.Listener(listener)
 }
--- a/internal/router/controller.go
+++ b/internal/router/controller.go
@@ -8,7 +8,7 @@
 	"github.com/thorntiller/thorntiller/internal/wire"
 )
 
-// controllerWriteTimeout bounds the writing of one frame to a controller.
+// controllerWriteTimeout is the maximum duration of writing one frame to a controller.
 const controllerWriteTimeout = time.Second
 
 // wireConnection is a table connection over TCP.
@@ -16,8 +16,7 @@
 	connection *wire.Conn
 }
 
-// controllerDialer returns a dialer of table connections; dial is nil for plain
-// TCP.
+// controllerDialer returns a dialer for table connections. A nil dial means plain TCP.
 func controllerDialer(dial wire.DialFunc) tableDialer {
 	options := wire.Options{WriteTimeout: controllerWriteTimeout, Dial: dial}
 	return func(ctx context.Context, address string, hello message.Hello) (tableConnection, error) {
--- a/internal/router/deduplicate.go
+++ b/internal/router/deduplicate.go
@@ -15,26 +15,27 @@
 )
 
 const (
-	// claimPauseBase and claimPauseMax bound the pause before a claim is sent
-	// again; it doubles.
-	claimPauseBase = 5 * time.Millisecond
-	claimPauseMax  = 100 * time.Millisecond
-	// answerReserve is kept of the request's time for the answer.
+	// claimRetryBase and claimRetryMax are the first and the longest delay before a claim
+	// or a completion is sent again. The delay doubles each time.
+	claimRetryBase = 5 * time.Millisecond
+	claimRetryMax  = 100 * time.Millisecond
+	// answerReserve is the part of the request's time that is reserved for the answer.
 	answerReserve = 20 * time.Millisecond
-	// completionTime bounds how long a completion is sent again and again.
-	completionTime = 30 * time.Second
-	// maxCompletions bounds the completions under way in the background.
+	// completionTimeout is how long the router retries to send a completion.
+	completionTimeout = 30 * time.Second
+	// maxCompletions is the maximum number of completions that are sent in the background.
 	maxCompletions = 4096
 )
 
-// recordClient carries claims and completions to the primaries of the records.
+// recordClient sends claims and completions to the primaries of the records. Uncertain is
+// true if the claim may have been recorded although no answer says so.
 type recordClient interface {
 	Session() state.SessionNumber
 	Claim(ctx context.Context, claim record.Claim) (answer message.RecordAnswer, uncertain bool)
 	Complete(ctx context.Context, completion record.Completion) bool
 }
 
-// recordDeduplicator is the Deduplicator that keeps its records on routers.
+// recordDeduplicator is the Deduplicator whose idempotency records are kept on routers.
 type recordDeduplicator struct {
 	self           state.RouterID
 	clock          clock.Clock
@@ -42,12 +43,13 @@
 	maxAnswerBytes int
 	peerTimeout    time.Duration
 	metrics        *metrics
-	// lifetime ends when completions must be given up.
+	// lifetime ends when the router stops retrying completions.
 	lifetime context.Context
 
-	places     chan struct{}
-	background conc.WaitGroup
-	mutex      sync.Mutex
+	// completionSlots holds an element for each completion in the background.
+	completionSlots chan struct{}
+	background      conc.WaitGroup
+	mutex           sync.Mutex
 }
 
 // Do implements Deduplicator.
@@ -66,43 +68,43 @@
 	d.metrics.claims.WithLabelValues(answer.Verdict.String()).Inc()
 	if answer.Verdict == record.Granted {
 		err := next(ctx, exchange)
-		d.finish(d.completionOf(claim, exchange, err))
+		d.recordEnd(d.completionOf(claim, exchange, err))
 		return err
 	}
 	if uncertain {
-		d.complete(record.Completion{Claim: claim, Status: record.Released})
+		d.completeInBackground(record.Completion{Claim: claim, Status: record.Released})
 	}
-	return d.conclude(exchange, answer)
+	return d.answerNotGranted(exchange, answer)
 }
 
-// claim asks for the right to run until the answer is final or the request's
-// time is over. It reports whether the last claim may stand at the primary
-// although nobody said so.
+// claim sends the claim until the answer is final or the request's time is over. It
+// reports whether any of the claims may have been recorded by a primary that did not
+// confirm it.
 func (d *recordDeduplicator) claim(ctx context.Context, exchange *Exchange, claim record.Claim) (message.RecordAnswer, bool) {
 	ctx, cancel := context.WithTimeout(ctx, exchange.Request.Deadline-answerReserve-d.clock.Now())
 	defer cancel()
-	wait := claimPauseBase
+	delay := claimRetryBase
 	uncertain := false
 	for {
-		answer, open := d.client.Claim(ctx, claim)
-		uncertain = uncertain || open
+		answer, unconfirmed := d.client.Claim(ctx, claim)
+		uncertain = uncertain || unconfirmed
 		if answer.Verdict.Final() || ctx.Err() != nil {
 			return answer, uncertain
 		}
-		pause(ctx, wait)
-		wait = min(claimPauseMax, wait*2)
+		pause(ctx, delay)
+		delay = min(claimRetryMax, delay*2)
 	}
 }
 
-// conclude answers a request that was not granted.
-func (d *recordDeduplicator) conclude(exchange *Exchange, answer message.RecordAnswer) error {
+// answerNotGranted answers a request whose claim was not granted.
+func (d *recordDeduplicator) answerNotGranted(exchange *Exchange, answer message.RecordAnswer) error {
 	if answer.Verdict == record.AnswerKept {
 		return restoreAnswer(exchange, answer.Answer)
 	}
 	return answer.Verdict.Refusal(exchange.IdempotencyKey)
 }
 
-// completionOf tells how the exchange ended.
+// completionOf returns the completion that records the result of the exchange.
 func (d *recordDeduplicator) completionOf(claim record.Claim, exchange *Exchange, err error) record.Completion {
 	if err == nil {
 		return record.Completion{Claim: claim, Status: record.StatusAfter(nil), Answer: keepAnswer(exchange.Answer, d.maxAnswerBytes)}
@@ -110,9 +112,9 @@
 	return record.Completion{Claim: claim, Status: record.StatusAfter(fault.From(err))}
 }
 
-// finish records the end of an attempt. An answer goes to the caller without
-// waiting for it; a failure waits, since the caller will send again at once.
-func (d *recordDeduplicator) finish(completion record.Completion) {
+// recordEnd records the result of a granted request. An answer goes to the caller without
+// waiting for the record; a failure waits, because the caller may resend at once.
+func (d *recordDeduplicator) recordEnd(completion record.Completion) {
 	if completion.Status != record.Completed {
 		ctx, cancel := context.WithTimeout(d.lifetime, d.peerTimeout)
 		defer cancel()
@@ -120,15 +122,16 @@
 			return
 		}
 	}
-	d.complete(completion)
+	d.completeInBackground(completion)
 }
 
-// complete sends a completion in the background until it is recorded. Without
-// room there it is sent once; the record then stays as running until this
-// router's session ends, and counts as unknown after that.
-func (d *recordDeduplicator) complete(completion record.Completion) {
+// completeInBackground sends a completion in the background until it is recorded. If
+// maxCompletions are being sent already, it is sent once in the foreground; if that fails,
+// the record stays in the state running until this router's session ends, and its outcome
+// counts as unknown after that.
+func (d *recordDeduplicator) completeInBackground(completion record.Completion) {
 	select {
-	case d.places <- struct{}{}:
+	case d.completionSlots <- struct{}{}:
 	default:
 		ctx, cancel := context.WithTimeout(d.lifetime, d.peerTimeout)
 		defer cancel()
@@ -138,29 +141,29 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.background.Go(func() {
-		defer func() { <-d.places }()
-		d.completeUntil(completion)
+		defer func() { <-d.completionSlots }()
+		d.completeWithRetries(completion)
 	})
 }
 
-func (d *recordDeduplicator) completeUntil(completion record.Completion) {
-	ctx, cancel := context.WithTimeout(d.lifetime, completionTime)
+func (d *recordDeduplicator) completeWithRetries(completion record.Completion) {
+	ctx, cancel := context.WithTimeout(d.lifetime, completionTimeout)
 	defer cancel()
-	wait := claimPauseBase
+	delay := claimRetryBase
 	for !d.client.Complete(ctx, completion) && ctx.Err() == nil {
-		pause(ctx, wait)
-		wait = min(claimPauseMax, wait*2)
+		pause(ctx, delay)
+		delay = min(claimRetryMax, delay*2)
 	}
 }
 
-// flush waits until no completion is under way, or the context ends.
+// flush waits until no completion is being sent in the background, or the context ends.
 func (d *recordDeduplicator) flush(ctx context.Context) {
-	for len(d.places) > 0 && ctx.Err() == nil {
-		pause(ctx, claimPauseBase)
+	for len(d.completionSlots) > 0 && ctx.Err() == nil {
+		pause(ctx, claimRetryBase)
 	}
 }
 
-// wait returns once every goroutine has ended, which follows the lifetime.
+// wait waits for the background goroutines. They end when the lifetime ends.
 func (d *recordDeduplicator) wait() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/router/deduplicate_test.go
+++ b/internal/router/deduplicate_test.go
@@ -18,7 +18,7 @@
 	"github.com/thorntiller/thorntiller/internal/telemetry"
 )
 
-// scriptedClient answers claims in turn; the last answer stays.
+// scriptedClient answers claims with the given answers in order, and repeats the last one.
 type scriptedClient struct {
 	answers     []message.RecordAnswer
 	uncertain   bool
@@ -51,7 +51,7 @@
 func newTestDeduplicator(client recordClient) *recordDeduplicator {
 	return &recordDeduplicator{
 		self: "router-1", clock: clock.NewSystem(), client: client, maxAnswerBytes: 64, peerTimeout: time.Second,
-		metrics: newMetrics(telemetry.NewMetrics(role)), lifetime: context.Background(), places: make(chan struct{}, maxCompletions),
+		metrics: newMetrics(telemetry.NewMetrics(role)), lifetime: context.Background(), completionSlots: make(chan struct{}, maxCompletions),
 	}
 }
 
@@ -89,30 +89,30 @@
 		"from the future":              {claims: []record.Verdict{record.FromFuture}, kind: fault.InvalidRequest, completed: none},
 		"full":                         {claims: []record.Verdict{record.Full}, kind: fault.QueueFull, completed: none},
 	}
-	for name, each := range cases {
+	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			client := &scriptedClient{answers: verdicts(each.claims...), uncertain: each.uncertain, completions: make(chan record.Completion, 1)}
+			client := &scriptedClient{answers: verdicts(c.claims...), uncertain: c.uncertain, completions: make(chan record.Completion, 1)}
 			deduplicator := newTestDeduplicator(client)
 			ran := false
 			err := deduplicator.Do(context.Background(), newTestExchange(300*time.Millisecond), func(context.Context, *Exchange) error {
 				ran = true
-				return each.failure
+				return c.failure
 			})
 			deduplicator.wait()
-			if ran != each.runs {
+			if ran != c.runs {
 				t.Errorf("ran: %v", ran)
 			}
-			if (err == nil) != (each.kind == "") || (err != nil && fault.KindOf(err) != each.kind) {
-				t.Errorf("answered with %v, want kind %q", err, each.kind)
+			if (err == nil) != (c.kind == "") || (err != nil && fault.KindOf(err) != c.kind) {
+				t.Errorf("answered with %v, want kind %q", err, c.kind)
 			}
 			select {
 			case completion := <-client.completions:
-				if completion.Status != each.completed {
-					t.Errorf("completed with %d, want %d", completion.Status, each.completed)
+				if completion.Status != c.completed {
+					t.Errorf("completed with %d, want %d", completion.Status, c.completed)
 				}
 			default:
-				if each.completed != none {
-					t.Errorf("no completion, want %d", each.completed)
+				if c.completed != none {
+					t.Errorf("no completion, want %d", c.completed)
 				}
 			}
 		})
@@ -181,8 +181,8 @@
 	}
 }
 
-// TestLostRecordsAreAnsweredWithoutAdviceToSendAgain: an earlier attempt may have
-// run, and no resend of the same key ever will.
+// TestLostRecordsAreAnsweredWithoutAdviceToSendAgain: an earlier attempt may have run, and a
+// resend with the same key will never run, so the answer must not have a Retry-After header.
 func TestLostRecordsAreAnsweredWithoutAdviceToSendAgain(t *testing.T) {
 	var answer fasthttp.Response
 	writeRefusal(&answer, "", fault.New(fault.RecordLost, ""))
--- a/internal/router/doc.go
+++ b/internal/router/doc.go
@@ -1,6 +1,6 @@
-// Package router is the router process. It keeps the routing table by a
-// subscription to the controllers, accepts callers' HTTP, and sends each
-// request to the owner of its key or to a free server. The decisions are made
-// by packages dispatch, retry, admission and health; this package carries them
-// out and owns the listeners and the process's life.
+// Package router implements the router process. It subscribes to the routing table
+// of the controllers, accepts callers' HTTP requests, and forwards each request to the
+// owner of its key or, without a key, to a server with little load. Packages
+// execution, dispatch, retry, admission and health make the decisions; this package
+// carries them out and owns the listeners and the process's lifecycle.
 package router
--- a/internal/router/exchange.go
+++ b/internal/router/exchange.go
@@ -20,63 +20,63 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
-// Exchange is one caller's request on its way through the handlers.
+// Exchange is one caller's request and its answer while the handlers process it.
 type Exchange struct {
-	// ID is the router's own identifier of the request, unique among all
-	// requests of all routers.
+	// ID is the router's identifier of the request, unique among the requests of all
+	// routers.
 	ID string
-	// CallerID is the caller's identifier of the attempt, repeated in the
-	// answer; it may be empty.
+	// CallerID is the caller's identifier of the attempt, which is returned in the answer.
+	// It may be empty.
 	CallerID string
-	// IdempotencyKey is empty when the caller sent none.
+	// IdempotencyKey is empty if the caller sent none.
 	IdempotencyKey string
 	// Target is the path and query for the back end.
 	Target string
-	// Timeout is the caller's own, zero when it gave none.
+	// Timeout is the timeout that the caller requested, zero if it sent none.
 	Timeout time.Duration
-	// Request is what dispatch decides by.
+	// Request holds the properties that package dispatch needs.
 	Request dispatch.Request
 	// Inbound is the caller's HTTP request. It must not be changed.
 	Inbound *fasthttp.Request
-	// Answer takes the back end's whole answer when the handler returns nil.
+	// Answer holds the back end's complete answer if the handler returns nil.
 	Answer *fasthttp.Response
 
-	// remote is the address that the caller connected from.
-	remote net.Addr
-	// suspicion is what is known of the request as one under which servers crash.
+	// remoteAddress is the caller's network address.
+	remoteAddress net.Addr
+	// suspicion tracks whether the request is suspected of crashing servers.
 	suspicion crashwatch.Request
-	// key is the caller's key.
-	key     string
-	service *state.Service
-	arrived time.Duration
+	// key is the routing key that the caller sent.
+	key       string
+	service   *state.Service
+	arrivedAt time.Duration
 }
 
-// Handler serves an exchange. A nil error means that Answer holds a back end's
-// whole answer; otherwise the error's chain holds a *fault.Error.
+// Handler serves an exchange. A nil error means that Answer holds a back end's complete
+// answer; otherwise the error's chain contains a *fault.Error.
 type Handler func(ctx context.Context, exchange *Exchange) error
 
-// Deduplicator lets a request that may not be repeated run at most once, also
-// when its caller resends it with the same Idempotency-Key. It calls next for
-// the first, and answers from its records for the others.
+// Deduplicator runs a request that may not be repeated at most once, even if its caller
+// resends it with the same Idempotency-Key. It calls next for the first one, and answers
+// the others from its records.
 type Deduplicator interface {
 	Do(ctx context.Context, exchange *Exchange, next Handler) error
 }
 
-// controlPrefix begins the paths that back ends serve for controllers and
+// controlPrefix is the prefix of the paths that back ends serve for controllers and
 // routers. Callers must not reach them.
 const controlPrefix = "/.thorntiller"
 
-// readExchange takes what the request itself says, without the routing table.
-func (r *Router) readExchange(context *fasthttp.RequestCtx) (*Exchange, error) {
-	request := &context.Request
+// readExchange parses the request. It does not use the routing table.
+func (r *Router) readExchange(inbound *fasthttp.RequestCtx) (*Exchange, error) {
+	request := &inbound.Request
 	exchange := &Exchange{
 		ID:             r.nextID(),
 		CallerID:       string(request.Header.Peek(callerapi.HeaderRequestID)),
 		IdempotencyKey: string(request.Header.Peek(callerapi.HeaderIdempotencyKey)),
 		Inbound:        request,
 		Answer:         fasthttp.AcquireResponse(),
-		arrived:        r.clock.Now(),
-		remote:         context.RemoteAddr(),
+		arrivedAt:      r.clock.Now(),
+		remoteAddress:  inbound.RemoteAddr(),
 	}
 	exchange.suspicion.Identify = exchange.identify
 	if err := exchange.readTarget(request); err != nil {
@@ -91,17 +91,18 @@
 	return exchange, exchange.readRepeatable(request)
 }
 
-// identify returns what makes the request the same as another one.
+// identify returns the parts of the request from which its quarantine fingerprint is
+// computed.
 func (e *Exchange) identify() quarantine.Request {
 	header := &e.Inbound.Header
 	return quarantine.Request{
 		Method: header.Method(), Host: []byte(e.Request.Service), URI: []byte(e.Target),
-		Caller: quarantine.CallerOf(header.Peek(fasthttp.HeaderAuthorization), e.remote), Key: []byte(e.key), Body: e.Inbound.Body(),
+		Caller: quarantine.CallerOf(header.Peek(fasthttp.HeaderAuthorization), e.remoteAddress), Key: []byte(e.key), Body: e.Inbound.Body(),
 	}
 }
 
-// readTarget splits /<service>/<rest>. The rest goes on as the caller wrote
-// it; its normal form decides whether it is allowed.
+// readTarget splits /<service>/<rest>. The rest is forwarded as the caller wrote it, but
+// its normalized form must not be a reserved path.
 func (e *Exchange) readTarget(request *fasthttp.Request) error {
 	original := string(request.URI().PathOriginal())
 	name, rest, found := strings.Cut(strings.TrimPrefix(original, "/"), "/")
@@ -113,7 +114,7 @@
 	if found {
 		e.Target += rest
 	}
-	if reserved(e.Target) {
+	if isReserved(e.Target) {
 		return fault.Newf(fault.InvalidRequest, "path %.100q is reserved; use another path of the service", e.Target)
 	}
 	if query := request.URI().QueryString(); len(query) > 0 {
@@ -122,9 +123,9 @@
 	return nil
 }
 
-// reserved reports whether a back end could take the path for one of its
-// control paths.
-func reserved(target string) bool {
+// isReserved reports whether a back end might interpret the path as one of its control
+// paths.
+func isReserved(target string) bool {
 	uri := fasthttp.AcquireURI()
 	defer fasthttp.ReleaseURI(uri)
 	uri.SetPath(target)
@@ -171,23 +172,23 @@
 	return nil
 }
 
-// resolve takes the service's settings from the routing table.
-func (e *Exchange) resolve(service *state.Service, longest time.Duration) error {
+// resolve applies the service's settings: it checks the key and sets the deadline.
+func (e *Exchange) resolve(service *state.Service, maxTimeout time.Duration) error {
 	e.service = service
 	if service.Keyed && !e.Request.Keyed {
 		return fault.Newf(fault.InvalidRequest, "header %s is missing; service %q routes by key", callerapi.HeaderKey, service.Name)
 	}
 	e.Request.Keyed = service.Keyed
-	timeout := min(service.DefaultTimeout, longest)
+	timeout := min(service.DefaultTimeout, maxTimeout)
 	if e.Timeout > 0 {
 		timeout = min(timeout, e.Timeout)
 	}
-	e.Request.Deadline = e.arrived + timeout
+	e.Request.Deadline = e.arrivedAt + timeout
 	return nil
 }
 
-// fill makes the HTTP request of one attempt.
-func (e *Exchange) fill(request *fasthttp.Request, decision *dispatch.Decision, attemptID string, timeout time.Duration) {
+// fillAttemptRequest fills in the HTTP request of one attempt.
+func (e *Exchange) fillAttemptRequest(request *fasthttp.Request, decision *dispatch.Decision, attemptID string, timeout time.Duration) {
 	e.Inbound.Header.CopyTo(&request.Header)
 	for _, name := range forward.HopHeaders() {
 		request.Header.Del(name)
@@ -211,7 +212,7 @@
 	}
 }
 
-// setHeader replaces every value of the header that the caller sent.
+// setHeader sets the header and removes all values that the caller sent.
 func setHeader(request *fasthttp.Request, name, value string) {
 	request.Header.Del(name)
 	request.Header.Set(name, value)
--- a/internal/router/execute.go
+++ b/internal/router/execute.go
@@ -22,7 +22,7 @@
 	"github.com/thorntiller/thorntiller/internal/telemetry"
 )
 
-// executor carries out the actions that the core asks for.
+// executor carries out the actions that the execution core returns.
 type executor struct {
 	clock     clock.Clock
 	builder   *table.Builder
@@ -36,25 +36,25 @@
 	overdue   *overdueWatch
 }
 
-// outgoing is one request with its state in the core.
-type outgoing struct {
+// outgoingRequest is an exchange with its execution and its latest attempt.
+type outgoingRequest struct {
 	exchange  *Exchange
 	execution *execution.Execution
-	// target, client and attemptID are of the newest attempt. A cancel must go
-	// to the very process that got the attempt, thus by the same client.
+	// target, client and attemptID belong to the latest attempt. A cancel must reach the same
+	// process as the attempt, so it uses the same client.
 	target    *fleet.BackEnd
 	client    *forward.Client
 	attemptID string
-	// withdrawn is why the newest attempt was not sent; nil if it was.
+	// withdrawn is the reason why the latest attempt was not sent; nil if it was.
 	withdrawn *fault.Error
 }
 
-// run is the innermost Handler: it acts until the core finishes the request.
+// run is the innermost Handler. It carries out actions until the request is finished.
 func (e *executor) run(ctx context.Context, exchange *Exchange) error {
 	if failure := e.guard.Check(&exchange.suspicion); failure != nil {
 		return failure
 	}
-	request := &outgoing{exchange: exchange, execution: e.core.Begin(&exchange.Request, exchange.service)}
+	request := &outgoingRequest{exchange: exchange, execution: e.core.Begin(&exchange.Request, exchange.service)}
 	defer request.execution.End()
 	changed := e.builder.Changed()
 	action := request.execution.Plan(e.reading())
@@ -70,8 +70,8 @@
 	return action.Failure
 }
 
-// carryOut does what an action asks for and returns the next one.
-func (e *executor) carryOut(ctx context.Context, request *outgoing, action execution.Action, changed <-chan struct{}) execution.Action {
+// carryOut carries out an action and returns the next one.
+func (e *executor) carryOut(ctx context.Context, request *outgoingRequest, action execution.Action, changed <-chan struct{}) execution.Action {
 	switch action.Kind {
 	case execution.Wait:
 		return e.wait(ctx, request, action, changed)
@@ -82,9 +82,9 @@
 	case execution.Attempt:
 		return e.attempt(request, action)
 	case execution.Cancel:
-		// An error proves nothing.
+		// After an error it is unknown whether the request ran.
 		proved, err := request.client.Cancel(request.attemptID, action.Timeout)
-		return e.counted(request, request.execution.Cancelled(e.clock.Now(), proved && err == nil))
+		return e.countResend(request, request.execution.Cancelled(e.clock.Now(), proved && err == nil))
 	default:
 		return request.execution.Plan(e.reading())
 	}
@@ -95,8 +95,8 @@
 	return execution.Reading{Now: now, Table: e.builder.Table(), Fresh: e.freshness.Fresh(now)}
 }
 
-// wait waits for a change of the table or the end of the action's time.
-func (e *executor) wait(ctx context.Context, request *outgoing, action execution.Action, changed <-chan struct{}) execution.Action {
+// wait waits for a change of the table, but no longer than the action's Until.
+func (e *executor) wait(ctx context.Context, request *outgoingRequest, action execution.Action, changed <-chan struct{}) execution.Action {
 	timer := time.NewTimer(action.Until - e.clock.Now())
 	defer timer.Stop()
 	select {
@@ -108,8 +108,8 @@
 	return execution.Action{Kind: execution.Plan}
 }
 
-// attempt sends the request once and tells the core what came back.
-func (e *executor) attempt(request *outgoing, action execution.Action) execution.Action {
+// attempt sends the request once and passes the result to the execution.
+func (e *executor) attempt(request *outgoingRequest, action execution.Action) execution.Action {
 	exchange := request.exchange
 	server := action.Decision.Server
 	failure := e.guard.CheckBeforeSend(&exchange.suspicion)
@@ -117,27 +117,29 @@
 		failure = e.sendGuarded(request, action)
 	}
 	if failure != nil && failure.Kind == fault.AnswerMismatched {
-		telemetry.WithError(e.log, telemetry.EventAnswerMismatched, failure).WithField("server", server.ID).Error("answer to another request")
+		telemetry.WithError(e.log, telemetry.EventAnswerMismatched, failure).WithField("server", server.ID).
+			Error("answer does not belong to the request that was sent")
 	}
 	if request.withdrawn != nil {
 		return request.execution.Withdrawn(e.reading(), request.withdrawn)
 	}
 	next := request.execution.Answered(e.clock.Now(), failure)
 	e.logEvents(server, next.Events, failure)
-	return e.counted(request, next)
+	return e.countResend(request, next)
 }
 
-// sendGuarded sends a request that is not in quarantine, and notes whether its server crashed. One that
-// was in flight at a crash before is not sent again: it may take down another server.
-func (e *executor) sendGuarded(request *outgoing, action execution.Action) *fault.Error {
+// sendGuarded sends a request that is not in quarantine, and reports an attempt during which the server
+// may have crashed. A request that was in flight during an earlier crash is not resent, because it may
+// crash another server.
+func (e *executor) sendGuarded(request *outgoingRequest, action execution.Action) *fault.Error {
 	exchange := request.exchange
 	if exchange.suspicion.Suspected() {
 		request.execution.ForbidResend()
 	}
-	began := e.clock.Now()
+	sentAt := e.clock.Now()
 	failure := e.send(request, action.Decision, action.Timeout)
 	if failure == nil {
-		failure = judgeAnswer(request.target, exchange.Answer)
+		failure = checkAnswer(request.target, exchange.Answer)
 	}
 	e.guard.EndTrial(&exchange.suspicion, failure)
 	switch {
@@ -146,48 +148,49 @@
 			e.guard.Answered(&exchange.suspicion)
 		}
 	case failure.Kind == fault.ConnectionLost || failure.Kind == fault.AnswerTruncated || failure.Kind == fault.DeadlineExceeded:
-		e.noteLoss(exchange, action.Decision.Server, e.clock.Now()-began, failure)
+		e.recordLoss(exchange, action.Decision.Server, e.clock.Now()-sentAt, failure)
 	default:
 	}
 	return failure
 }
 
-// noteLoss takes an attempt that may have ended with its server. A server that leaves may end at any
-// time, whatever it runs.
-func (e *executor) noteLoss(exchange *Exchange, server *state.Server, took time.Duration, failure *fault.Error) {
+// recordLoss reports an attempt during which the server may have crashed. Servers that are leaving are
+// ignored, because they may exit at any time for reasons other than the request.
+func (e *executor) recordLoss(exchange *Exchange, server *state.Server, elapsed time.Duration, failure *fault.Error) {
 	if server.Leaving || server.Intent != state.ServerActive {
 		return
 	}
 	e.guard.Lost(e.crashes, &exchange.suspicion, crashwatch.Attempt{
 		Service: string(server.Service), Instance: incarnationOf(server), Address: server.Address, RequestID: exchange.ID,
-		Took: took, ConnectionEnded: failure.Kind != fault.DeadlineExceeded,
+		Took: elapsed, ConnectionEnded: failure.Kind != fault.DeadlineExceeded,
 	})
 }
 
-// noteEnded tells of the servers of which another process runs than that which lost requests.
-func (r *Router) noteEnded() {
+// checkReplacedProcesses tells the crash watch which of the server processes that lost requests have been
+// replaced by a new process.
+func (r *Router) checkReplacedProcesses() {
 	view := r.builder.Table()
 	r.crashes.Check(func(id directory.InstanceID) bool {
-		name, _, _ := strings.Cut(string(id), incarnationMark)
+		name, _, _ := strings.Cut(string(id), incarnationSeparator)
 		server, found := view.Server(state.ServerID(name))
 		return found && incarnationOf(server) != id
 	})
 }
 
-// incarnationMark stands between a server's identifier and that of its process.
-const incarnationMark = "#"
+// incarnationSeparator separates a server's identifier from that of its process.
+const incarnationSeparator = "#"
 
-// incarnationOf names the process of a server that had the newest session.
+// incarnationOf returns an identifier of the process that opened the server's latest session.
 func incarnationOf(server *state.Server) directory.InstanceID {
-	return directory.InstanceID(string(server.ID) + incarnationMark + server.Session.Incarnation)
+	return directory.InstanceID(string(server.ID) + incarnationSeparator + server.Session.Incarnation)
 }
 
-func (e *executor) send(request *outgoing, decision *dispatch.Decision, timeout time.Duration) *fault.Error {
+func (e *executor) send(request *outgoingRequest, decision *dispatch.Decision, timeout time.Duration) *fault.Error {
 	exchange := request.exchange
 	request.attemptID = exchange.ID + "." + strconv.Itoa(request.execution.Attempts()+1)
 	request.withdrawn = nil
 	interrupt := &forward.Interrupt{}
-	defer e.overdue.begin(interrupt, timeout)()
+	defer e.overdue.add(interrupt, timeout)()
 	attempt := forward.Attempt{
 		ID: request.attemptID, Request: fasthttp.AcquireRequest(), Response: exchange.Answer, Timeout: timeout, Interrupt: interrupt,
 		Check: func() *fault.Error {
@@ -196,7 +199,7 @@
 		},
 	}
 	defer fasthttp.ReleaseRequest(attempt.Request)
-	exchange.fill(attempt.Request, decision, attempt.ID, timeout)
+	exchange.fillAttemptRequest(attempt.Request, decision, attempt.ID, timeout)
 	exchange.Answer.Reset()
 	e.metrics.attempts.WithLabelValues(string(exchange.service.Name)).Inc()
 	request.client = clientOf(request.target)
@@ -207,16 +210,17 @@
 	return failure
 }
 
-// judgeAnswer returns the refusal in an answer, and keeps its load report.
-func judgeAnswer(target *fleet.BackEnd, answer *fasthttp.Response) *fault.Error {
+// checkAnswer returns the answer's refusal, if it is one, and stores its load report.
+func checkAnswer(target *fleet.BackEnd, answer *fasthttp.Response) *fault.Error {
 	if load, found := forward.LoadOf(answer); found {
 		target.ReportLoad(load.Running, load.Queued, load.Slots)
 	}
 	return forward.RefusalOf(answer)
 }
 
-// counted counts an attempt after which the request is sent again.
-func (e *executor) counted(request *outgoing, next execution.Action) execution.Action {
+// countResend counts a failed attempt after which the request is sent again, and returns
+// the action unchanged.
+func (e *executor) countResend(request *outgoingRequest, next execution.Action) execution.Action {
 	if next.Kind == execution.Plan && next.Failure != nil {
 		e.metrics.resends.WithLabelValues(string(request.exchange.service.Name), string(next.Failure.Kind)).Inc()
 	}
@@ -227,11 +231,12 @@
 	for _, event := range events {
 		switch event {
 		case execution.ServerDraining:
-			telemetry.With(e.log, telemetry.EventServerDraining).WithField("server", server.ID).Info("server takes no new work")
+			telemetry.With(e.log, telemetry.EventServerDraining).WithField("server", server.ID).Info("server is draining and accepts no new requests")
 		case execution.ServerReadmitted:
-			telemetry.With(e.log, telemetry.EventServerReadmitted).WithField("server", server.ID).Info("server gets requests again")
+			telemetry.With(e.log, telemetry.EventServerReadmitted).WithField("server", server.ID).Info("server was readmitted and gets requests again")
 		case execution.ServerEjected:
-			telemetry.WithError(e.log, telemetry.EventServerEjected, failure).WithField("server", server.ID).Warn("server gets no requests for a while")
+			telemetry.WithError(e.log, telemetry.EventServerEjected, failure).WithField("server", server.ID).
+				Warn("server was ejected after failures and gets no requests for now")
 		}
 	}
 }
--- a/internal/router/keptanswer.go
+++ b/internal/router/keptanswer.go
@@ -14,32 +14,34 @@
 	"github.com/thorntiller/thorntiller/internal/record"
 )
 
-// fingerprintOf identifies the request's content. Headers but the key's do not
-// count, since callers and proxies change them between resends.
+// fingerprintOf returns a hash of the request's content. It leaves out the headers, except
+// for the key, because callers and proxies change them between resends.
 func fingerprintOf(exchange *Exchange) record.Fingerprint {
 	sum := sha256.New()
 	for _, part := range [][]byte{
 		[]byte(exchange.Request.Service), exchange.Inbound.Header.Method(), []byte(exchange.Target),
 		[]byte(exchange.key), exchange.Inbound.Body(),
 	} {
-		addPart(sum, part)
+		writePart(sum, part)
 	}
 	var fingerprint record.Fingerprint
 	copy(fingerprint[:], sum.Sum(nil))
 	return fingerprint
 }
 
-// addPart adds a part with its length, so that no two lists of parts are alike.
-func addPart(sum hash.Hash, part []byte) {
+// writePart writes a part with its length, so that different lists of parts never give the
+// same input to the hash.
+func writePart(sum hash.Hash, part []byte) {
 	var length [8]byte
 	binary.BigEndian.PutUint64(length[:], uint64(len(part)))
-	// A hash's Write never fails.
+	// Write of a hash.Hash never returns an error.
 	_, _ = sum.Write(length[:])
 	_, _ = sum.Write(part)
 }
 
-// notKept are headers of a back end's answer that belong to one exchange.
-func notKept(name string) bool {
+// isPerExchangeHeader reports whether a header of a back end's answer applies to one
+// exchange only and must not be repeated for a resend.
+func isPerExchangeHeader(name string) bool {
 	for _, other := range forward.HopHeaders() {
 		if name == other {
 			return true
@@ -54,7 +56,8 @@
 	}
 }
 
-// keepAnswer copies a back end's answer for resends, unless it is too large.
+// keepAnswer copies a back end's answer so that it can be repeated for resends. It omits
+// headers and body if the body is larger than maxBytes.
 func keepAnswer(answer *fasthttp.Response, maxBytes int) *record.Answer {
 	kept := &record.Answer{Status: answer.StatusCode(), SkipBody: answer.SkipBody}
 	if len(answer.Body()) > maxBytes {
@@ -62,7 +65,7 @@
 		return kept
 	}
 	for name, value := range answer.Header.All() {
-		if !notKept(string(name)) {
+		if !isPerExchangeHeader(string(name)) {
 			kept.Headers = append(kept.Headers, record.Header{Name: string(name), Value: string(value)})
 		}
 	}
@@ -70,7 +73,7 @@
 	return kept
 }
 
-// restoreAnswer makes a kept answer the exchange's own.
+// restoreAnswer copies a kept answer into the exchange.
 func restoreAnswer(exchange *Exchange, kept *record.Answer) error {
 	if kept == nil || kept.Omitted {
 		return fault.New(fault.OutcomeUnknown,
--- a/internal/router/lifecycle.go
+++ b/internal/router/lifecycle.go
@@ -17,16 +17,17 @@
 )
 
 const (
-	// stopGrace is how long kept connections may still bring requests after
-	// the listener closed, at most; each answer closes its connection. Callers
-	// drop connections that were idle for callerapi.KeepAlive, so that none is
-	// in use when the rest is closed.
-	stopGrace = callerapi.KeepAlive + time.Second
-	// graceShare bounds the grace as a part of the stop timeout.
-	graceShare = 2
-	// handOverTime bounds the hand-over of record partitions after a stop.
-	handOverTime = 3 * time.Second
-	// probeWorkers bounds health checks that run at the same time.
+	// connectionGrace is the maximum time for which open connections may still bring requests
+	// after the listener was closed; each answer closes its connection. Callers drop
+	// connections that were idle for callerapi.KeepAlive, so that the remaining ones are not
+	// in use when they are closed.
+	connectionGrace = callerapi.KeepAlive + time.Second
+	// graceDivisor limits the grace to 1/graceDivisor of the stop timeout.
+	graceDivisor = 2
+	// handOverTimeout is the maximum duration of the hand-over of record partitions after a
+	// stop.
+	handOverTimeout = 3 * time.Second
+	// probeWorkers is the maximum number of concurrent health checks.
 	probeWorkers = 8
 )
 
@@ -45,7 +46,7 @@
 		NoDefaultDate:         true,
 		CloseOnShutdown:       true,
 		ConnState:             r.countConnection,
-		// A multipart body must go on byte for byte.
+		// Multipart bodies must be forwarded unchanged.
 		DisablePreParseMultipartForm: true,
 		Logger:                       r.log,
 	}
@@ -60,7 +61,7 @@
 	}
 }
 
-// onceListener may be closed twice: by the stop, and by the server's own
+// onceListener is a listener that may be closed twice: by stop, and by the server's own
 // shutdown.
 type onceListener struct {
 	net.Listener
@@ -74,7 +75,7 @@
 	return l.err
 }
 
-// refuseMalformed answers requests that could not be read.
+// refuseMalformed answers a request that could not be parsed.
 func refuseMalformed(inbound *fasthttp.RequestCtx, err error) {
 	detail := "the request could not be read; check its syntax and size"
 	if eris.Is(err, fasthttp.ErrBodyTooLarge) {
@@ -84,67 +85,68 @@
 	inbound.SetConnectionClose()
 }
 
-// refusePanicked answers a request that met a defect: it may have run.
+// refusePanicked answers a request whose handler panicked. The request may have run.
 func refusePanicked(inbound *fasthttp.RequestCtx) {
 	writeRefusal(&inbound.Response, "", fault.New(fault.Internal, "this router has a defect; its log tells where"))
 }
 
-// stop closes the listener, lets kept connections finish, and waits for the
-// running requests within the stop timeout.
+// stop closes the listener, waits for open connections to close, and then for the running
+// requests, within the stop timeout.
 func (r *Router) stop(server *fasthttp.Server, listener net.Listener) error {
 	telemetry.With(r.log, telemetry.EventStopping).Info("stopping")
-	end := time.Now().Add(r.settings.StopTimeout)
+	deadline := time.Now().Add(r.settings.StopTimeout)
 	r.stopping.Store(true)
 	_ = listener.Close()
-	r.awaitConnections(time.Now().Add(min(stopGrace, r.settings.StopTimeout/graceShare)))
+	r.awaitConnections(time.Now().Add(min(connectionGrace, r.settings.StopTimeout/graceDivisor)))
 	r.closed.Store(true)
-	bounded, cancel := context.WithDeadline(context.Background(), end)
+	stopContext, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
-	if err := server.ShutdownWithContext(bounded); err != nil {
+	if err := server.ShutdownWithContext(stopContext); err != nil {
 		return eris.Wrapf(err, "%d requests did not finish within stop_timeout %s", r.limiter.Total(), r.settings.StopTimeout)
 	}
 	return nil
 }
 
-// handOver records the ends of all requests and waits until other routers hold
-// this router's record partitions.
+// handOver waits until the results of all requests are recorded and other routers hold this
+// router's record partitions, within handOverTimeout.
 func (r *Router) handOver() {
-	bounded, cancel := context.WithTimeout(context.Background(), min(handOverTime, r.settings.StopTimeout))
+	ctx, cancel := context.WithTimeout(context.Background(), min(handOverTimeout, r.settings.StopTimeout))
 	defer cancel()
-	if r.completions != nil {
-		r.completions.flush(bounded)
+	if r.ownDeduplicator != nil {
+		r.ownDeduplicator.flush(ctx)
 	}
-	r.records.Stop(bounded)
+	r.records.Stop(ctx)
 }
 
-// awaitConnections returns once no connection is open, or at the given time.
-func (r *Router) awaitConnections(end time.Time) {
+// awaitConnections waits until no connection is open or the deadline has passed.
+func (r *Router) awaitConnections(deadline time.Time) {
 	const interval = 10 * time.Millisecond
-	for r.connections.Load() > 0 && time.Now().Before(end) {
+	for r.connections.Load() > 0 && time.Now().Before(deadline) {
 		time.Sleep(interval)
 	}
 }
 
-// probe asks the known back ends for their health, as a hint.
+// probe regularly checks the health of the known back ends. The results are hints for the
+// health tracker.
 func (r *Router) probe(ctx context.Context) {
 	for ctx.Err() == nil {
 		pause(ctx, r.settings.Health.ProbeInterval)
 		workers := pool.New().WithMaxGoroutines(probeWorkers)
-		for _, known := range r.fleet.Known() {
+		for _, backEnd := range r.fleet.Known() {
 			if ctx.Err() != nil {
 				break
 			}
-			workers.Go(func() { r.probeOne(known) })
+			workers.Go(func() { r.probeOne(backEnd) })
 		}
 		workers.Wait()
 	}
 }
 
-func (r *Router) probeOne(known *fleet.BackEnd) {
-	server := known.Server()
+func (r *Router) probeOne(backEnd *fleet.BackEnd) {
+	server := backEnd.Server()
 	if !server.Session.Open {
 		return
 	}
-	well := clientOf(known).Healthy(r.settings.Health.ProbeTimeout)
-	r.fleet.Health().Hint(server.ID, well)
+	healthy := clientOf(backEnd).Healthy(r.settings.Health.ProbeTimeout)
+	r.fleet.Health().Hint(server.ID, healthy)
 }
--- a/internal/router/link.go
+++ b/internal/router/link.go
@@ -16,9 +16,9 @@
 
 const maxEjection = 30 * time.Second
 
-func newFleet(settings config.Router, reader clock.Clock, builder *table.Builder) *fleet.Fleet {
+func newFleet(settings config.Router, systemClock clock.Clock, builder *table.Builder) *fleet.Fleet {
 	return fleet.New(fleet.Options{
-		Clock: reader, MaxConnections: settings.BackEnd.MaxConnections, Table: builder.Table,
+		Clock: systemClock, MaxConnections: settings.BackEnd.MaxConnections, Table: builder.Table,
 		Health: health.Settings{
 			Failures:     settings.Health.EjectFailures,
 			BaseEjection: settings.Health.EjectDuration,
@@ -31,7 +31,7 @@
 	})
 }
 
-// link is the connections to one back end. It implements fleet.Link.
+// link manages the connections to one back end. It implements fleet.Link.
 type link struct {
 	settings config.BackEnd
 	// address is guarded by the fleet's lock.
@@ -40,9 +40,9 @@
 }
 
 func newLink(settings config.BackEnd, server *state.Server, connections int) *link {
-	created := &link{settings: settings, address: server.Address}
-	created.client.Store(created.newClient(connections))
-	return created
+	result := &link{settings: settings, address: server.Address}
+	result.client.Store(result.newClient(connections))
+	return result
 }
 
 func (l *link) newClient(connections int) *forward.Client {
@@ -71,7 +71,7 @@
 // Close implements fleet.Link.
 func (l *link) Close() { l.client.Load().CloseIdle() }
 
-// clientOf returns the present client of a back end.
+// clientOf returns the current client of a back end.
 func clientOf(target *fleet.BackEnd) *forward.Client {
 	return target.Link.(*link).client.Load()
 }
--- a/internal/router/memory.go
+++ b/internal/router/memory.go
@@ -9,38 +9,42 @@
 )
 
 const (
-	// memoryInterval is the time between two looks at the live heap.
+	// memoryInterval is the interval at which the live heap is checked.
 	memoryInterval = time.Second
-	// liveMetric is the heap that the last collection found in use, in bytes.
-	liveMetric = "/gc/heap/live:bytes"
-	// limitedShare is the part of the limit, in percent, that the live heap may
-	// reach. Beyond it a limit would make the collector run all the time.
-	limitedShare = 60
-	noLimit      = int64(math.MaxInt64)
+	// liveHeapMetric is the runtime metric of the heap that the last garbage collection found
+	// in use, in bytes.
+	liveHeapMetric = "/gc/heap/live:bytes"
+	// maxLivePercent is the size of the live heap, in percent of the configured limit, up to
+	// which the limit is set. Above it, the limit would make the garbage collector run all
+	// the time.
+	maxLivePercent = 60
+	noMemoryLimit  = int64(math.MaxInt64)
 )
 
-// memoryLimit returns the collector's limit for a live heap, both in bytes.
+// memoryLimit returns the garbage collector's memory limit for a configured limit and the
+// size of the live heap, all in bytes. A configured limit of zero means none.
 func memoryLimit(configured, live uint64) int64 {
 	const percent = 100
-	if configured == 0 || live > configured/percent*limitedShare {
-		return noLimit
+	if configured == 0 || live > configured/percent*maxLivePercent {
+		return noMemoryLimit
 	}
-	return int64(min(configured, uint64(noLimit)))
+	return int64(min(configured, uint64(noMemoryLimit)))
 }
 
-// limitMemory keeps the collector's limit until the context ends. The limit is
-// the process's, so that only the process's own router may call it.
+// limitMemory adjusts the garbage collector's memory limit until the context ends. The
+// limit applies to the whole process, so it must not be called for a router that shares its
+// process with others.
 func limitMemory(ctx context.Context, configured uint64) {
 	if configured == 0 {
 		return
 	}
-	sample := []runtimemetrics.Sample{{Name: liveMetric}}
-	inForce := noLimit
+	sample := []runtimemetrics.Sample{{Name: liveHeapMetric}}
+	current := noMemoryLimit
 	for ctx.Err() == nil {
 		runtimemetrics.Read(sample)
-		if wanted := memoryLimit(configured, sample[0].Value.Uint64()); wanted != inForce {
+		if wanted := memoryLimit(configured, sample[0].Value.Uint64()); wanted != current {
 			debug.SetMemoryLimit(wanted)
-			inForce = wanted
+			current = wanted
 		}
 		pause(ctx, memoryInterval)
 	}
--- a/internal/router/metrics.go
+++ b/internal/router/metrics.go
@@ -9,7 +9,7 @@
 	"github.com/thorntiller/thorntiller/internal/telemetry"
 )
 
-// metrics are the router's own measures.
+// metrics are the counters and histograms of the router.
 type metrics struct {
 	requests *prometheus.CounterVec
 	attempts *prometheus.CounterVec
@@ -18,11 +18,11 @@
 	latency  *prometheus.HistogramVec
 }
 
-// unresolved stands for the name of a service that is not configured, so that
-// callers cannot make up label values.
-const unresolved = "unknown"
+// unresolvedService is the label for all services that are not configured, so that callers
+// cannot create arbitrary label values.
+const unresolvedService = "unknown"
 
-// kindCompleted labels requests that a back end answered.
+// kindCompleted is the label of requests that a back end answered.
 const kindCompleted = "completed"
 
 func newMetrics(set *telemetry.Metrics) *metrics {
@@ -42,7 +42,7 @@
 
 // observe counts a finished request; an empty kind means completed.
 func (m *metrics) observe(exchange *Exchange, kind fault.Kind, now time.Duration) {
-	service := unresolved
+	service := unresolvedService
 	if exchange.service != nil {
 		service = string(exchange.service.Name)
 	}
@@ -51,14 +51,14 @@
 		label = kindCompleted
 	}
 	m.requests.WithLabelValues(service, label).Inc()
-	m.latency.WithLabelValues(service).Observe((now - exchange.arrived).Seconds())
+	m.latency.WithLabelValues(service).Observe((now - exchange.arrivedAt).Seconds())
 }
 
 // registerGauges adds gauges that are read at each scrape.
 func (r *Router) registerGauges(set *telemetry.Metrics) {
 	set.GaugeFunction("in_flight_requests", "Requests in flight.", func() float64 { return float64(r.limiter.Total()) })
-	set.GaugeFunction("owner_waits", "Requests that wait for an owner.", func() float64 { return float64(r.requests.OwnerWaits()) })
-	set.GaugeFunction("queued_requests", "Requests that wait for a place at a server.", r.queued)
+	set.GaugeFunction("owner_waits", "Requests that wait for an owner.", func() float64 { return float64(r.core.OwnerWaits()) })
+	set.GaugeFunction("queued_requests", "Requests that wait for a place at a server.", r.queuedRequests)
 	set.GaugeFunction("records", "Idempotency records that this router holds.", func() float64 {
 		records, _ := r.records.Records()
 		return float64(records)
@@ -79,10 +79,10 @@
 	})
 }
 
-func (r *Router) queued() float64 {
+func (r *Router) queuedRequests() float64 {
 	total := 0
-	for _, known := range r.fleet.Known() {
-		total += known.Queue.Waiting()
+	for _, backEnd := range r.fleet.Known() {
+		total += backEnd.Queue.Waiting()
 	}
 	return float64(total)
 }
--- a/internal/router/middleware.go
+++ b/internal/router/middleware.go
@@ -12,10 +12,10 @@
 	"github.com/thorntiller/thorntiller/internal/telemetry"
 )
 
-// middleware wraps a handler with one job.
+// middleware returns a handler that wraps next.
 type middleware func(next Handler) Handler
 
-// chain puts the first middleware outermost.
+// chain wraps last in the layers. The first layer is the outermost.
 func chain(last Handler, layers ...middleware) Handler {
 	handler := last
 	for i := len(layers) - 1; i >= 0; i-- {
@@ -24,7 +24,7 @@
 	return handler
 }
 
-// serve is the entry point of callers' requests.
+// serve handles callers' requests.
 func (r *Router) serve(inbound *fasthttp.RequestCtx) {
 	exchange, err := r.readExchange(inbound)
 	defer fasthttp.ReleaseResponse(exchange.Answer)
@@ -44,7 +44,8 @@
 	r.logUnknown(exchange, failure)
 }
 
-// setConnection tells the caller what becomes of the connection.
+// setConnection tells the caller how long the connection stays open: it is closed after the
+// answer while the router stops.
 func (r *Router) setConnection(inbound *fasthttp.RequestCtx) {
 	if r.stopping.Load() {
 		inbound.SetConnectionClose()
@@ -65,7 +66,7 @@
 		WithField(telemetry.FieldKind, failure.Kind).Warn("the outcome of a request is unknown")
 }
 
-// refuseAfterStop refuses what comes after the stop's grace.
+// refuseAfterStop refuses requests that arrive after the grace period of a stop.
 func (r *Router) refuseAfterStop(next Handler) Handler {
 	return func(ctx context.Context, exchange *Exchange) error {
 		if r.closed.Load() {
@@ -75,7 +76,7 @@
 	}
 }
 
-// refuseStale refuses requests while the table is not proved current.
+// refuseStale refuses requests while the routing table is not proved current.
 func (r *Router) refuseStale(next Handler) Handler {
 	return func(ctx context.Context, exchange *Exchange) error {
 		if !r.freshness.Fresh(r.clock.Now()) {
@@ -85,7 +86,7 @@
 	}
 }
 
-// resolveService takes the service's settings from the table.
+// resolveService looks up the service in the routing table and applies its settings.
 func (r *Router) resolveService(next Handler) Handler {
 	return func(ctx context.Context, exchange *Exchange) error {
 		if !r.subset.Holds(exchange.Request.Service) {
@@ -104,7 +105,7 @@
 	}
 }
 
-// limitRequests bounds the requests in flight.
+// limitRequests limits the number of requests in flight.
 func (r *Router) limitRequests(next Handler) Handler {
 	return func(ctx context.Context, exchange *Exchange) error {
 		name := string(exchange.service.Name)
@@ -116,8 +117,8 @@
 	}
 }
 
-// deduplicate gives requests with an Idempotency-Key that may not be repeated
-// to the Deduplicator.
+// deduplicate passes requests that have an Idempotency-Key and may not be repeated to the
+// Deduplicator.
 func (r *Router) deduplicate(next Handler) Handler {
 	return func(ctx context.Context, exchange *Exchange) error {
 		if r.deduplicator == nil || exchange.IdempotencyKey == "" || exchange.Request.Repeatable {
--- a/internal/router/middleware_test.go
+++ b/internal/router/middleware_test.go
@@ -15,9 +15,9 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
-// TestAnswersOfAStoppingRouterCloseTheirConnections covers refusals and answers
-// of back ends: a connection that is kept would be cut off at the end of the
-// stop, perhaps under a request.
+// TestAnswersOfAStoppingRouterCloseTheirConnections guards against connections that stay open
+// and are cut off at the end of the stop, possibly during a request. It covers refusals and
+// answers of back ends.
 func TestAnswersOfAStoppingRouterCloseTheirConnections(t *testing.T) {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
@@ -31,7 +31,7 @@
 	for name, handler := range handlers {
 		t.Run(name, func(t *testing.T) {
 			router := New(config.DefaultRouter(), logrus.NewEntry(logger), Options{})
-			defer router.end()
+			defer router.endLifetime()
 			router.handler = handler
 			for _, stopping := range []bool{false, true} {
 				router.stopping.Store(stopping)
@@ -49,15 +49,15 @@
 	}
 }
 
-// TestServicesThatAreNotRoutedAreRefused covers a service that the settings leave
-// out, whether it exists or not, and one that they hold.
+// TestServicesThatAreNotRoutedAreRefused covers a service that is not in the settings, which is
+// refused whether it exists or not, and one that is in the settings but does not exist.
 func TestServicesThatAreNotRoutedAreRefused(t *testing.T) {
 	settings := config.DefaultRouter()
 	settings.Services = []string{"routed"}
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	router := New(settings, logrus.NewEntry(logger), Options{})
-	defer router.end()
+	defer router.endLifetime()
 	handler := router.resolveService(func(context.Context, *Exchange) error { return nil })
 	for service, want := range map[string]fault.Kind{"other": fault.ServiceNotRouted, "routed": fault.UnknownService} {
 		err := handler(context.Background(), &Exchange{Request: dispatch.Request{Service: state.ServiceName(service)}})
--- a/internal/router/overdue.go
+++ b/internal/router/overdue.go
@@ -10,42 +10,45 @@
 )
 
 const (
-	// overdueLook is the time between two looks at the attempts under way.
-	overdueLook = 100 * time.Millisecond
-	// overdueMargin is by how much the time of an attempt has passed when it is given up here.
-	// Its own timers give it up in time, but for one whose machine was suspended: they stand
-	// still then.
+	// overdueInterval is the interval at which the running attempts are checked.
+	overdueInterval = 100 * time.Millisecond
+	// overdueMargin is the time after an attempt's deadline at which it is interrupted. The
+	// attempt's own timers normally end it at the deadline; they stop while the machine is
+	// suspended.
 	overdueMargin = 100 * time.Millisecond
 )
 
-// overdueWatch gives attempts up whose time has passed by the clock. It is safe for concurrent use.
+// overdueWatch interrupts attempts whose deadline has passed according to the clock, which also
+// counts the time in which the machine is suspended. It is safe for concurrent use.
 type overdueWatch struct {
 	clock clock.Clock
 	mutex sync.Mutex
-	// ends says when the time of each attempt under way has passed.
-	ends map[*forward.Interrupt]time.Duration
+	// deadlines holds the deadline of each running attempt.
+	deadlines map[*forward.Interrupt]time.Duration
 }
 
-func newOverdueWatch(system clock.Clock) *overdueWatch {
-	return &overdueWatch{clock: system, ends: make(map[*forward.Interrupt]time.Duration)}
+func newOverdueWatch(systemClock clock.Clock) *overdueWatch {
+	return &overdueWatch{clock: systemClock, deadlines: make(map[*forward.Interrupt]time.Duration)}
 }
 
-// begin takes an attempt that may take a time, and returns how to end the watch for it.
-func (w *overdueWatch) begin(attempt *forward.Interrupt, timeout time.Duration) (end func()) {
+// add watches an attempt with the given timeout until remove is called.
+func (w *overdueWatch) add(attempt *forward.Interrupt, timeout time.Duration) (remove func()) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.ends[attempt] = w.clock.Now() + timeout
+	w.deadlines[attempt] = w.clock.Now() + timeout
 	return func() {
 		w.mutex.Lock()
 		defer w.mutex.Unlock()
-		delete(w.ends, attempt)
+		delete(w.deadlines, attempt)
 	}
 }
 
-// run looks at the attempts until the context ends.
-func (w *overdueWatch) run(ctx context.Context) { clock.Every(ctx, overdueLook, w.look) }
+// run checks the attempts until the context ends.
+func (w *overdueWatch) run(ctx context.Context) {
+	clock.Every(ctx, overdueInterval, w.interruptOverdue)
+}
 
-func (w *overdueWatch) look() {
+func (w *overdueWatch) interruptOverdue() {
 	for _, attempt := range w.overdue() {
 		attempt.Fire()
 	}
@@ -56,8 +59,8 @@
 	defer w.mutex.Unlock()
 	now := w.clock.Now()
 	var found []*forward.Interrupt
-	for attempt, end := range w.ends {
-		if now > end+overdueMargin {
+	for attempt, deadline := range w.deadlines {
+		if now > deadline+overdueMargin {
 			found = append(found, attempt)
 		}
 	}
--- a/internal/router/overdue_test.go
+++ b/internal/router/overdue_test.go
@@ -7,29 +7,29 @@
 	"github.com/thorntiller/thorntiller/internal/forward"
 )
 
-// manualClock shows what a test sets.
+// manualClock returns the time that a test sets.
 type manualClock struct{ reading time.Duration }
 
 // Now implements clock.Clock.
 func (c *manualClock) Now() time.Duration { return c.reading }
 
-// TestAttemptEndsThoughTheMachineWasSuspended guards against callers who wait on for as long as their
-// router's machine was suspended: the timers of an attempt stand still meanwhile.
+// TestAttemptEndsThoughTheMachineWasSuspended guards against callers that wait longer by the time for
+// which the router's machine was suspended, because the timers of an attempt stop meanwhile.
 func TestAttemptEndsThoughTheMachineWasSuspended(t *testing.T) {
 	const timeout = time.Second
 	machine := &manualClock{}
 	watch := newOverdueWatch(machine)
-	waiting, answered := &forward.Interrupt{}, &forward.Interrupt{}
-	defer watch.begin(waiting, timeout)()
-	watch.begin(answered, timeout)()
+	pending, answered := &forward.Interrupt{}, &forward.Interrupt{}
+	defer watch.add(pending, timeout)()
+	watch.add(answered, timeout)()
 	machine.reading = timeout
-	watch.look()
-	if waiting.Fired() {
-		t.Fatal("given up though its own timer ends it now")
+	watch.interruptOverdue()
+	if pending.Fired() {
+		t.Fatal("interrupted at the deadline, when the attempt's own timer ends it")
 	}
 	machine.reading += 3 * time.Second
-	watch.look()
-	if !waiting.Fired() || answered.Fired() {
-		t.Errorf("the attempt that waits: given up %v; the one that was answered: %v", waiting.Fired(), answered.Fired())
+	watch.interruptOverdue()
+	if !pending.Fired() || answered.Fired() {
+		t.Errorf("pending attempt interrupted: %v, want true; answered attempt interrupted: %v, want false", pending.Fired(), answered.Fired())
 	}
 }
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -45,50 +45,50 @@
 	freshness    *table.Freshness
 	fleet        *fleet.Fleet
 	limiter      *admission.Limiter
-	requests     *execution.Core
+	core         *execution.Core
 	metrics      *metrics
 	registry     *telemetry.Metrics
 	deduplicator Deduplicator
 	records      *records.Service
-	// completions holds the ends of requests that are not recorded yet; nil when
-	// another Deduplicator was given.
-	completions *recordDeduplicator
-	handler     Handler
-	// subset is the part of the routing table that the settings ask for.
+	// ownDeduplicator is the deduplicator if Options has none, else nil. It holds the
+	// completions that are not recorded yet, which a stop waits for.
+	ownDeduplicator *recordDeduplicator
+	handler         Handler
+	// subset is the part of the routing table that the settings select.
 	subset table.Subset
 	dial   tableDialer
 	// certificates is nil for plain text.
 	certificates *certificate.Store
-	// guard keeps requests in quarantine from being sent, and crashes finds those under which servers
-	// crash; crashed gets an entry when the controllers are to be told at once.
+	// guard blocks requests in quarantine, and crashes finds requests that may crash servers. crashed
+	// receives a value when a crash must be reported to the controllers at once.
 	guard   *crashwatch.Guard
 	crashes *crashwatch.Watch
 	overdue *overdueWatch
 	crashed chan struct{}
 
-	// connections counts callers' open connections.
+	// connections is the number of callers' open connections.
 	connections atomic.Int64
 
-	// stopping is set once the stop began; answers then close connections.
+	// stopping is set when a stop begins; answers then close their connections.
 	stopping atomic.Bool
-	// closed is set once requests are refused.
+	// closed is set after the grace period of a stop; requests are then refused.
 	closed atomic.Bool
-	// lifetime ends when running requests must be given up.
-	lifetime context.Context
-	end      context.CancelFunc
+	// lifetime is cancelled when running requests must be aborted.
+	lifetime    context.Context
+	endLifetime context.CancelFunc
 }
 
-// Options are parts that the caller of New may replace.
+// Options are optional dependencies of a Router.
 type Options struct {
-	// Deduplicator serves requests with an Idempotency-Key; nil keeps records on
-	// the routers of the cluster.
+	// Deduplicator handles requests with an Idempotency-Key. If it is nil, idempotency
+	// records are kept on the routers of the cluster.
 	Deduplicator Deduplicator
 	// Certificates authenticate the router to controllers and other routers;
 	// nil means plain text.
 	Certificates *certificate.Store
 }
 
-// dial returns how connections to other processes are opened; nil means plain.
+// dial returns the function that opens connections to other processes; nil means plain TCP.
 func (o Options) dial() wire.DialFunc {
 	if o.Certificates == nil {
 		return nil
@@ -104,11 +104,11 @@
 	if err != nil {
 		return err
 	}
-	watching, stop := context.WithCancel(ctx)
+	memoryContext, stop := context.WithCancel(ctx)
 	var group conc.WaitGroup
 	defer group.Wait()
 	defer stop()
-	group.Go(func() { limitMemory(watching, uint64(settings.MemoryLimitBytes)) })
+	group.Go(func() { limitMemory(memoryContext, uint64(settings.MemoryLimitBytes)) })
 	return New(settings, log, Options{Certificates: certificates}).Run(ctx)
 }
 
@@ -126,17 +126,17 @@
 	router.crashes = crashwatch.NewWatch(router.clock, log, router.guard.Crashed)
 	router.guard.RegisterMetrics(router.registry)
 	router.overdue = newOverdueWatch(router.clock)
-	router.lifetime, router.end = context.WithCancel(context.Background())
+	router.lifetime, router.endLifetime = context.WithCancel(context.Background())
 	router.fleet = newFleet(settings, router.clock, router.builder)
-	router.requests = router.newRequests()
+	router.core = router.newCore()
 	router.metrics = newMetrics(router.registry)
 	router.records = records.New(records.Options{
 		Self: router.self(), Settings: settings.Records, Clock: router.clock, Log: log, View: router.builder.Table,
 		Dial: options.dial(),
 	})
 	if router.deduplicator == nil {
-		router.completions = router.newDeduplicator()
-		router.deduplicator = router.completions
+		router.ownDeduplicator = router.newDeduplicator()
+		router.deduplicator = router.ownDeduplicator
 	}
 	router.registerGauges(router.registry)
 	router.handler = chain(router.newExecutor().run,
@@ -144,8 +144,8 @@
 	return router
 }
 
-// newRequests returns the core that decides about requests.
-func (r *Router) newRequests() *execution.Core {
+// newCore returns the execution core of the router's requests.
+func (r *Router) newCore() *execution.Core {
 	planning := dispatch.DefaultSettings(r.settings.Zone)
 	planning.RampUp = r.settings.Health.RampUp
 	return execution.New(execution.Options{
@@ -162,7 +162,7 @@
 func (r *Router) newExecutor() *executor {
 	return &executor{
 		clock: r.clock, builder: r.builder, fleet: r.fleet, freshness: r.freshness,
-		core: r.requests, metrics: r.metrics, log: r.log, guard: r.guard, crashes: r.crashes,
+		core: r.core, metrics: r.metrics, log: r.log, guard: r.guard, crashes: r.crashes,
 		overdue: r.overdue,
 	}
 }
@@ -171,11 +171,12 @@
 	return &recordDeduplicator{
 		self: state.RouterID(r.settings.Name), clock: r.clock, client: r.records, metrics: r.metrics,
 		maxAnswerBytes: r.settings.Records.MaxAnswerBytes, peerTimeout: r.settings.Records.PeerTimeout,
-		lifetime: r.lifetime, places: make(chan struct{}, maxCompletions),
+		lifetime: r.lifetime, completionSlots: make(chan struct{}, maxCompletions),
 	}
 }
 
-// newIncarnation names this process among all that ever ran.
+// newIncarnation returns a random identifier of this process, unique among all processes
+// that ever ran.
 func newIncarnation() string {
 	const size = 8
 	var bytes [size]byte
@@ -184,8 +185,8 @@
 	return hex.EncodeToString(bytes[:])
 }
 
-// nextID returns a request identifier that no other request ever has, so that
-// a back end's promise about one attempt can never be taken for another's.
+// nextID returns a globally unique request identifier, so that a back end's promise about
+// one attempt can never be mistaken for a promise about another.
 func (r *Router) nextID() string {
 	return r.incarnation + "-" + strconv.FormatUint(r.sequence.Add(1), 36)
 }
@@ -227,7 +228,7 @@
 	failed := make(chan error, 3)
 	group.Go(func() { failed <- serveListener(callerServer, callers) })
 	group.Go(func() { failed <- serveListener(adminServer, admin) })
-	group.Go(func() { failed <- r.records.Run(background, r.secure(peers)) })
+	group.Go(func() { failed <- r.records.Run(background, r.tlsListener(peers)) })
 	group.Go(func() { r.certificates.Watch(background, r.settings.TLS.ReloadInterval, r.log) })
 	group.Go(func() { r.newSubscription().run(background) })
 	group.Go(func() { r.probe(background) })
@@ -246,9 +247,9 @@
 		_ = callers.Close()
 	}
 	stopBackground()
-	r.end()
-	if r.completions != nil {
-		r.completions.wait()
+	r.endLifetime()
+	if r.ownDeduplicator != nil {
+		r.ownDeduplicator.wait()
 	}
 	_ = adminServer.Shutdown()
 	group.Wait()
@@ -266,29 +267,30 @@
 
 func (r *Router) newSubscription() *subscription {
 	return &subscription{
-		self: r.self(), services: serviceNames(r.settings.Services), controllers: r.settings.Controllers, interval: r.settings.PingInterval, times: r.settings.Times(),
+		self: r.self(), services: serviceNames(r.settings.Services), controllers: r.settings.Controllers,
+		pingInterval: r.settings.PingInterval, times: r.settings.Times(),
 		dial: r.dial, clock: r.clock, builder: r.builder, freshness: r.freshness, log: r.log,
-		changed: func() {
+		onTableChange: func() {
 			r.fleet.Refresh(r.builder.Table())
 			r.records.TableChanged()
-			r.noteEnded()
+			r.checkReplacedProcesses()
 		},
 		records: r.records, guard: r.guard, crashed: r.crashed,
 	}
 }
 
-// watchFreshness logs when the router becomes stale or current again.
+// watchFreshness logs when the routing table becomes stale or current.
 func (r *Router) watchFreshness(ctx context.Context) {
-	was := false
+	wasFresh := false
 	for ctx.Err() == nil {
 		fresh := r.freshness.Fresh(r.clock.Now())
-		if fresh && !was {
+		if fresh && !wasFresh {
 			telemetry.With(r.log, telemetry.EventTableCurrent).Info("the routing table is proved current")
 		}
-		if !fresh && was {
+		if !fresh && wasFresh {
 			telemetry.With(r.log, telemetry.EventTableStale).Warn("the routing table is no longer proved current")
 		}
-		was = fresh
+		wasFresh = fresh
 		pause(ctx, freshnessInterval)
 	}
 }
--- a/internal/router/subscription.go
+++ b/internal/router/subscription.go
@@ -24,22 +24,24 @@
 )
 
 const (
-	// silenceLimit is how long a table connection may bring no frame.
-	silenceLimit = 600 * time.Millisecond
-	// silentPings is how many pings may stay unanswered when pings are rare.
-	silentPings = 3
+	// silenceTimeout is the minimum time without a frame after which a table connection is
+	// closed.
+	silenceTimeout = 600 * time.Millisecond
+	// maxSilentPings is the number of ping intervals without a frame after which the
+	// connection is closed, if that is longer than silenceTimeout.
+	maxSilentPings = 3
 
-	// avoidLost is how long a lost controller is left out; it is longer than an
-	// election with the default settings.
-	avoidLost = 500 * time.Millisecond
+	// lostControllerPause is the time for which a controller is not tried again after its
+	// connection was lost. It is longer than an election with the default settings.
+	lostControllerPause = 500 * time.Millisecond
 
 	reconnectBase = 25 * time.Millisecond
-	// reconnectMax is well below a router's lease as a record primary, so that
-	// a change of leader does not end it.
+	// reconnectMax is well below a router's lease as a record primary, so that the lease
+	// does not expire during a change of leader.
 	reconnectMax = 250 * time.Millisecond
 )
 
-// tableConnection carries frames between a router and a controller.
+// tableConnection exchanges frames with a controller.
 type tableConnection interface {
 	Send(message.RouterFrame) error
 	Receive() (message.ControllerFrame, error)
@@ -49,80 +51,81 @@
 // tableDialer opens a table connection to a controller's peer address.
 type tableDialer func(ctx context.Context, address string, hello message.Hello) (tableConnection, error)
 
-// recordReporter is the record service as the subscription sees it.
+// recordReporter is the part of the record service that the subscription uses.
 type recordReporter interface {
-	// Report completes a ping whose SentNs is set.
+	// Report adds the record service's state to a ping whose SentNs is set.
 	Report(ping *message.Ping)
-	// ReportDue gets a token when a ping should go out soon.
+	// ReportDue receives a value when a ping should be sent without waiting for the interval.
 	ReportDue() <-chan struct{}
-	// Renew takes the lease in a pong.
+	// Renew applies the lease in a pong.
 	Renew(pong message.Pong)
 }
 
-// subscription keeps the routing table current.
+// subscription keeps the routing table up to date over a connection to a controller.
 type subscription struct {
-	self        state.Router
-	services    []state.ServiceName
-	controllers []string
-	interval    time.Duration
-	// times are the settings that the controllers are told.
+	self         state.Router
+	services     []state.ServiceName
+	controllers  []string
+	pingInterval time.Duration
+	// times are the settings that are reported to the controllers.
 	times     config.RouterTimes
 	dial      tableDialer
 	clock     clock.Clock
 	builder   *table.Builder
 	freshness *table.Freshness
 	log       *logrus.Entry
-	// changed is called after each new version of the table.
-	changed func()
-	// records adds to pings and takes leases from pongs.
+	// onTableChange is called after each new version of the table.
+	onTableChange func()
+	// records adds its reports to pings and applies the leases in pongs.
 	records recordReporter
-	// guard tells and hears of requests under which servers crash, and crashed gets an entry when the
-	// controllers are to be told at once.
+	// guard exchanges reports about requests that may crash servers with the controllers. crashed
+	// receives a value when a report must be sent at once.
 	guard   *crashwatch.Guard
 	crashed <-chan struct{}
 
-	// preferred is the index of the controller that answered last.
+	// preferred is the index of the controller that is connected to or tried next.
 	preferred int
-	// announced holds, by the same index, the addresses that controllers
-	// announce of themselves, which may differ from the configured ones.
+	// announced holds, by the same index, the addresses that the controllers announce, which
+	// may differ from the configured ones.
 	announced []string
-	// served is true once the present connection brought a pong. lost is the
-	// controller whose serving connection ended last, at lostAt; zero for never.
-	served bool
-	lost   int
-	lostAt time.Duration
-	// resync asks for a whole snapshot on the next connection.
+	// served is true once the current connection has received a pong. lostController is the
+	// index of the controller whose serving connection ended last, at lostAt; lostAt is zero if
+	// none has.
+	served         bool
+	lostController int
+	lostAt         time.Duration
+	// resync requests a full snapshot on the next connection.
 	resync bool
 	nonce  uint64
-	// heard is the clock reading of the last frame, in nanoseconds.
-	heard atomic.Int64
+	// lastFrameAt is the clock reading at which the last frame was received, in nanoseconds.
+	lastFrameAt atomic.Int64
 }
 
-// run keeps one connection open until the context ends.
+// run keeps a connection to one controller open until the context ends.
 func (s *subscription) run(ctx context.Context) {
 	s.preferred = rand.IntN(len(s.controllers))
 	failures := 0
 	for ctx.Err() == nil {
 		address := s.controllers[s.preferred]
-		began := s.clock.Now()
+		startedAt := s.clock.Now()
 		err := s.connect(ctx, address)
 		s.freshness.Disconnected()
 		if ctx.Err() != nil {
 			return
 		}
-		s.noteLost()
-		s.preferred = s.next(err)
+		s.recordLost()
+		s.preferred = s.nextController(err)
 		failures++
-		if s.clock.Now()-began > reconnectMax {
+		if s.clock.Now()-startedAt > reconnectMax {
 			failures = 1
 		}
 		telemetry.WithError(s.log, telemetry.EventControllerLost, err).
-			WithField(telemetry.FieldAddress, address).Warn("table connection ended")
+			WithField(telemetry.FieldAddress, address).Warn("connection to the controller ended; reconnecting")
 		pause(ctx, reconnectDelay(failures))
 	}
 }
 
-// refusedError carries a controller's refusal of the table connection.
+// refusedError is a controller's refusal of the table connection.
 type refusedError struct {
 	refusal message.Refusal
 }
@@ -132,45 +135,47 @@
 	return fmt.Sprintf("the controller refused: %s: %s", e.refusal.Kind, e.refusal.Detail)
 }
 
-// next returns the index of the controller to try after a connection ended: the
-// leader that a refusal names, if it is known here, else the one after the last.
-// A controller whose connection was lost a moment ago is left out: while it is
-// cut off in silence, the others name it as the leader until they elect another.
-func (s *subscription) next(ended error) int {
+// nextController returns the index of the controller to try after a connection ended: the
+// leader that a refusal names, if its address is known, else the next one in the list. A
+// controller whose connection was lost within lostControllerPause is skipped if there are
+// others: if it is partitioned from the network, the others name it as the leader until they
+// have elected a new one.
+func (s *subscription) nextController(cause error) int {
 	count := len(s.controllers)
 	chosen := (s.preferred + 1) % count
 	var refused *refusedError
-	if errors.As(ended, &refused) && refused.refusal.Kind == fault.NotLeader {
-		if named := s.find(refused.refusal.Detail); named >= 0 {
-			chosen = named
+	if errors.As(cause, &refused) && refused.refusal.Kind == fault.NotLeader {
+		if leader := s.indexOf(refused.refusal.Detail); leader >= 0 {
+			chosen = leader
 		}
 	}
-	if s.avoids(chosen) {
+	if s.wasJustLost(chosen) {
 		chosen = (s.preferred + 1) % count
 	}
-	if s.avoids(chosen) {
+	if s.wasJustLost(chosen) {
 		chosen = (chosen + 1) % count
 	}
 	return chosen
 }
 
-// avoids reports whether the controller's connection was lost a moment ago.
-func (s *subscription) avoids(index int) bool {
-	return s.lostAt != 0 && index == s.lost && s.clock.Now()-s.lostAt < avoidLost
+// wasJustLost reports whether the controller's connection was lost within
+// lostControllerPause.
+func (s *subscription) wasJustLost(index int) bool {
+	return s.lostAt != 0 && index == s.lostController && s.clock.Now()-s.lostAt < lostControllerPause
 }
 
-// noteLost remembers the controller that served this router until now.
-func (s *subscription) noteLost() {
+// recordLost records the loss of the current connection if it has served this router.
+func (s *subscription) recordLost() {
 	if s.served {
-		s.lost = s.preferred
+		s.lostController = s.preferred
 		s.lostAt = s.clock.Now()
 	}
 	s.served = false
 }
 
-// find returns the index of the controller that is configured under an address,
-// or that announced it when it refused this router; -1 if there is none.
-func (s *subscription) find(address string) int {
+// indexOf returns the index of the controller with the configured address, or that announced
+// the address when it refused this router; -1 if there is none.
+func (s *subscription) indexOf(address string) int {
 	if address == "" {
 		return -1
 	}
@@ -180,8 +185,8 @@
 	return slices.Index(s.announced, address)
 }
 
-// learn keeps the address that the controller on this connection announces.
-func (s *subscription) learn(refusal message.Refusal) {
+// recordAnnounced stores the address that the current controller announces in its refusal.
+func (s *subscription) recordAnnounced(refusal message.Refusal) {
 	if refusal.From == "" {
 		return
 	}
@@ -200,7 +205,7 @@
 	return delay/2 + rand.N(delay/2+1)
 }
 
-// pause waits for the duration or the end of the context.
+// pause sleeps for the duration or until the context ends.
 func pause(ctx context.Context, duration time.Duration) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
@@ -210,7 +215,7 @@
 	}
 }
 
-// connect serves one connection until it fails. It always returns an error.
+// connect opens a connection and serves it until it fails. It always returns an error.
 func (s *subscription) connect(ctx context.Context, address string) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -219,7 +224,7 @@
 	if err != nil {
 		return err
 	}
-	s.heard.Store(int64(s.clock.Now()))
+	s.lastFrameAt.Store(int64(s.clock.Now()))
 	s.guard.Connected()
 	if err := connection.Send(message.RouterFrame{Hello: s.hello()}); err != nil {
 		_ = connection.Close()
@@ -228,7 +233,7 @@
 	var group conc.WaitGroup
 	group.Go(func() {
 		s.pingUntil(ctx, connection)
-		// Closing ends the receiving side as well.
+		// Closing the connection makes receive return.
 		_ = connection.Close()
 	})
 	err = s.receive(connection)
@@ -245,16 +250,16 @@
 	}
 }
 
-// pingUntil sends pings until the context ends, a write fails, or the
-// connection was silent for too long.
+// pingUntil sends pings until the context ends, a write fails, or no frame was received for
+// too long.
 func (s *subscription) pingUntil(ctx context.Context, connection tableConnection) {
-	ticker := time.NewTicker(s.interval)
+	ticker := time.NewTicker(s.pingInterval)
 	defer ticker.Stop()
-	limit := max(silenceLimit, silentPings*s.interval)
+	timeout := max(silenceTimeout, maxSilentPings*s.pingInterval)
 	for {
 		s.nonce++
 		now := s.clock.Now()
-		if now-time.Duration(s.heard.Load()) > limit {
+		if now-time.Duration(s.lastFrameAt.Load()) > timeout {
 			return
 		}
 		ping := &message.Ping{Nonce: s.nonce, SentNs: int64(now), Revision: s.builder.Table().Revision()}
@@ -279,14 +284,14 @@
 		if err != nil {
 			return err
 		}
-		s.heard.Store(int64(s.clock.Now()))
-		if err := s.take(frame); err != nil {
+		s.lastFrameAt.Store(int64(s.clock.Now()))
+		if err := s.handleFrame(frame); err != nil {
 			return err
 		}
 	}
 }
 
-func (s *subscription) take(frame message.ControllerFrame) error {
+func (s *subscription) handleFrame(frame message.ControllerFrame) error {
 	switch {
 	case frame.Snapshot != nil:
 		complete, err := s.builder.ApplySnapshot(*frame.Snapshot)
@@ -295,51 +300,53 @@
 			s.guard.Join(string(s.builder.Table().Cluster()))
 			telemetry.With(s.log, telemetry.EventTableSnapshot).
 				WithField(telemetry.FieldRevision, frame.Snapshot.Revision).Info("routing table received")
-			s.advance()
+			s.tableChanged()
 		}
-		return s.checked(err)
+		return s.checkTable(err)
 	case frame.Delta != nil:
 		err := s.builder.ApplyDelta(*frame.Delta)
 		if err == nil {
-			s.advance()
+			s.tableChanged()
 		}
-		return s.checked(err)
+		return s.checkTable(err)
 	case frame.Pong != nil:
 		s.served = true
 		s.freshness.Observe(*frame.Pong, s.builder.Table().Revision())
 		s.records.Renew(*frame.Pong)
-		s.takeSuspects(*frame.Pong)
+		s.handleSuspects(*frame.Pong)
 		return nil
 	case frame.Notice != nil:
 		for _, problem := range frame.Notice.Problems {
-			telemetry.With(s.log, telemetry.EventSettingsMismatch).WithField("problem", problem).Warn("settings do not fit those of other processes")
+			telemetry.With(s.log, telemetry.EventSettingsMismatch).WithField("problem", problem).
+				Warn("settings are inconsistent with those of other processes")
 		}
 		return nil
 	case frame.Refusal != nil:
-		s.learn(*frame.Refusal)
+		s.recordAnnounced(*frame.Refusal)
 		return &refusedError{refusal: *frame.Refusal}
 	default:
 		return eris.New("the controller sent an empty frame")
 	}
 }
 
-func (s *subscription) takeSuspects(pong message.Pong) {
+func (s *subscription) handleSuspects(pong message.Pong) {
 	s.guard.Heard(pong.Heard)
 	if pong.Suspects != nil {
 		s.guard.Take(*pong.Suspects)
 	}
 }
 
-func (s *subscription) advance() {
+func (s *subscription) tableChanged() {
 	s.freshness.Advance(s.builder.Table().Revision())
-	s.changed()
+	s.onTableChange()
 }
 
-// checked asks for a whole snapshot after a message that did not fit the table.
-func (s *subscription) checked(err error) error {
+// checkTable returns err. If only a full table can resolve it, the next connection requests
+// a full snapshot.
+func (s *subscription) checkTable(err error) error {
 	if table.NeedsWhole(err) {
 		s.resync = true
-		telemetry.WithError(s.log, telemetry.EventTableDigest, err).Warn("routing table is fetched anew")
+		telemetry.WithError(s.log, telemetry.EventTableDigest, err).Warn("routing table update does not apply; requesting a full snapshot")
 	}
 	return err
 }
--- a/internal/router/subscription_test.go
+++ b/internal/router/subscription_test.go
@@ -13,12 +13,12 @@
 	"github.com/thorntiller/thorntiller/internal/message"
 )
 
-// TestSubscriptionFollowsTheNamedLeader shows which controller is tried after
-// each way in which a connection to the controller at "a" can end.
+// TestSubscriptionFollowsTheNamedLeader checks which controller is tried after each way in
+// which a connection to the controller "a" can end.
 func TestSubscriptionFollowsTheNamedLeader(t *testing.T) {
 	s := &subscription{controllers: []string{"a", "b", "c"}}
 	refused := func(kind fault.Kind, detail string) error {
-		return eris.Wrap(s.take(message.ControllerFrame{Refusal: &message.Refusal{Kind: kind, Detail: detail}}), "receive")
+		return eris.Wrap(s.handleFrame(message.ControllerFrame{Refusal: &message.Refusal{Kind: kind, Detail: detail}}), "receive")
 	}
 	for name, c := range map[string]struct {
 		ended error
@@ -30,73 +30,73 @@
 		"another kind":      {refused(fault.Unavailable, "c"), "b"},
 		"connection closed": {io.EOF, "b"},
 	} {
-		if got := s.controllers[s.next(c.ended)]; got != c.want {
+		if got := s.controllers[s.nextController(c.ended)]; got != c.want {
 			t.Errorf("%s: tried %s next, want %s", name, got, c.want)
 		}
 	}
 }
 
-// TestSubscriptionLearnsAnnouncedAddresses: a leader is found by the address
-// that it announced, where routers reach the controllers by other addresses.
+// TestSubscriptionLearnsAnnouncedAddresses: a named leader is found by the address that it has
+// announced if the router's settings list the controllers under other addresses.
 func TestSubscriptionLearnsAnnouncedAddresses(t *testing.T) {
 	s := &subscription{controllers: []string{"a", "b", "c"}}
 	refused := func(from, leader string) error {
-		return s.take(message.ControllerFrame{Refusal: &message.Refusal{Kind: fault.NotLeader, Detail: leader, From: from}})
+		return s.handleFrame(message.ControllerFrame{Refusal: &message.Refusal{Kind: fault.NotLeader, Detail: leader, From: from}})
 	}
 	s.preferred = 1
-	if got := s.next(refused("B", "A")); got != 2 {
+	if got := s.nextController(refused("B", "A")); got != 2 {
 		t.Errorf("a leader that never refused: tried %s next, want the one after", s.controllers[got])
 	}
-	if got := s.next(refused("B", "")); got != 2 {
+	if got := s.nextController(refused("B", "")); got != 2 {
 		t.Errorf("no leader named: tried %s next, want the one after", s.controllers[got])
 	}
 	s.preferred = 2
-	if got := s.next(refused("C", "B")); got != 1 {
+	if got := s.nextController(refused("C", "B")); got != 1 {
 		t.Errorf("a leader that refused before it led: tried %s next, want b", s.controllers[got])
 	}
 }
 
-// setClock shows the time that the test sets.
+// setClock returns the time that the test sets.
 type setClock struct{ now time.Duration }
 
 func (c *setClock) Now() time.Duration { return c.now }
 
-// TestSubscriptionLeavesOutALostController: the one that served last is not
-// tried again at once, whoever names it, unless it is the only one.
+// TestSubscriptionLeavesOutALostController: the controller that served the router last is not
+// tried again at once, even if others name it as the leader, unless it is the only one.
 func TestSubscriptionLeavesOutALostController(t *testing.T) {
-	now := &setClock{now: time.Second}
-	s := &subscription{controllers: []string{"a", "b", "c"}, clock: now, served: true}
-	s.noteLost()
-	naming := func(leader string) error {
-		return s.take(message.ControllerFrame{Refusal: &message.Refusal{Kind: fault.NotLeader, Detail: leader}})
+	testClock := &setClock{now: time.Second}
+	s := &subscription{controllers: []string{"a", "b", "c"}, clock: testClock, served: true}
+	s.recordLost()
+	refusedNaming := func(leader string) error {
+		return s.handleFrame(message.ControllerFrame{Refusal: &message.Refusal{Kind: fault.NotLeader, Detail: leader}})
 	}
 	for _, step := range []struct {
 		at, want int
 		leader   string
 	}{{0, 1, "a"}, {1, 2, "a"}, {2, 1, "a"}, {2, 1, ""}, {1, 2, "c"}} {
 		s.preferred = step.at
-		if got := s.next(naming(step.leader)); got != step.want {
+		if got := s.nextController(refusedNaming(step.leader)); got != step.want {
 			t.Errorf("at %d, naming %q: tried %d next, want %d", step.at, step.leader, got, step.want)
 		}
 	}
-	now.now += avoidLost
+	testClock.now += lostControllerPause
 	s.preferred = 1
-	if got := s.next(naming("a")); got != 0 {
+	if got := s.nextController(refusedNaming("a")); got != 0 {
 		t.Errorf("later: tried %d next, want 0", got)
 	}
-	alone := &subscription{controllers: []string{"a"}, clock: now, served: true}
-	alone.noteLost()
-	if got := alone.next(io.EOF); got != 0 {
+	alone := &subscription{controllers: []string{"a"}, clock: testClock, served: true}
+	alone.recordLost()
+	if got := alone.nextController(io.EOF); got != 0 {
 		t.Errorf("the only controller: tried %d next", got)
 	}
 }
 
-// TestSubscriptionTellsPeopleWhatDoesNotFit: a notice is logged with what the
-// controllers say, and the connection goes on.
+// TestSubscriptionTellsPeopleWhatDoesNotFit: a notice is logged with the problems that the
+// controllers report, and the connection stays open.
 func TestSubscriptionTellsPeopleWhatDoesNotFit(t *testing.T) {
 	logger, hook := test.NewNullLogger()
 	s := &subscription{log: logrus.NewEntry(logger)}
-	if err := s.take(message.ControllerFrame{Notice: &message.Notice{Problems: []string{"ping_interval: too long"}}}); err != nil {
+	if err := s.handleFrame(message.ControllerFrame{Notice: &message.Notice{Problems: []string{"ping_interval: too long"}}}); err != nil {
 		t.Fatal(err)
 	}
 	last := hook.LastEntry()
