--- a/internal/controller/receipts_test.go
+++ b/internal/controller/receipts_test.go
@@ -10,9 +10,9 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
-// TestForgottenIntentIsAnsweredAsTheFirstTime pushes a confirmed plan out by
-// others, and sends its intent and its confirmation again: to the same leader, to
-// a new one, and after a restart of all from their snapshots and logs.
+// TestForgottenIntentIsAnsweredAsTheFirstTime evicts a confirmed plan by adding others and then resends its
+// intent and its confirmation: to the same leader, to a new leader, and after a restart of all controllers
+// from their snapshots and logs.
 func TestForgottenIntentIsAnsweredAsTheFirstTime(t *testing.T) {
 	g := newGroup(t)
 	first := g.create(serviceName(0))
@@ -47,11 +47,11 @@
 	g.t.Helper()
 	again, err := g.client.Plan(g.context(), first.Intent)
 	if err != nil || !again.Forgotten || again.Status != state.PlanConfirmed || again.Accepted != first.Accepted || again.Digest != first.Digest {
-		g.t.Errorf("the intent, %s: %+v, %v", what, again, err)
+		g.t.Errorf("resent intent, %s: %+v, %v", what, again, err)
 	}
 	again, err = g.client.Confirm(g.context(), first.ID, intentapi.ConfirmRequest{Operator: "o", Digest: first.Digest})
 	if err != nil || !again.Forgotten || again.Accepted != first.Accepted {
-		g.t.Errorf("the confirmation, %s: %+v, %v", what, again, err)
+		g.t.Errorf("resent confirmation, %s: %+v, %v", what, again, err)
 	}
 	g.wantServices(1)
 }
--- a/internal/controller/replica.go
+++ b/internal/controller/replica.go
@@ -23,61 +23,61 @@
 	"github.com/thorntiller/thorntiller/internal/tablestream"
 )
 
-// Bounds of the replica's inputs. A full inbox drops consensus messages, which
-// the algorithm tolerates; the other inputs make their callers wait.
+// Capacities of the inputs of the replica. A full inbox drops consensus messages, which the algorithm
+// tolerates; the other inputs block their callers.
 const (
 	inboxSize     = 4096
 	proposalsSize = 1024
 	readsSize     = 1024
 	resultsSize   = 1024
-	// inputsPerRound bounds the inputs taken before the outputs are handled.
+	// inputsPerRound bounds the inputs that are processed before the outputs are handled.
 	inputsPerRound = 256
 )
 
-// replica runs the driver of the consensus core, the state machine and the
-// coordinator in one goroutine. Other goroutines reach it through its channels.
+// replica runs the driver of the consensus core, the state machine and the coordinator in one goroutine, the
+// replica's loop. Other goroutines communicate with the loop through channels.
 type replica struct {
-	settings config.Controller
-	log      *logrus.Entry
-	clock    clock.Clock
-	self     consensus.Member
-	storage  *durable.Storage
-	peers    *peers
-	leases   *leaseSender
-	metrics  *metrics
-	history  *tablestream.History
-	whole    wholeTable
-	routers  *routerRegistry
+	settings  config.Controller
+	log       *logrus.Entry
+	clock     clock.Clock
+	self      consensus.Member
+	storage   *durable.Storage
+	peers     *peers
+	leases    *leaseSender
+	metrics   *metrics
+	history   *tablestream.History
+	fullTable fullTableCache
+	routers   *routerRegistry
 	// partitions places the idempotency records on routers.
-	partitions *partitionKeeper
-	// heartbeats takes the heartbeats of instances.
-	heartbeats *heartbeatKeeper
-	// load counts what this replica does for servers and gateways.
+	partitions *partitionManager
+	// heartbeats processes the heartbeats of instances.
+	heartbeats *heartbeatManager
+	// load counts the work that this replica does for servers and gateways.
 	load controlLoad
-	// quotas gives out the tokens of tenants.
-	quotas *quotaKeeper
-	// suspects puts requests in quarantine.
-	suspects *suspectKeeper
-	// directoryChanged tells the streams of the directory of changes.
+	// quotas grants the tokens of tenants and instances.
+	quotas *quotaManager
+	// suspects quarantines requests under which instances crash.
+	suspects *suspectManager
+	// directoryChanged is raised when the directory changes.
 	directoryChanged *broadcast.Broadcast
-	// instanceNews tells the heartbeats that wait of news of their instances.
-	instanceNews *instanceNews
-	feed         directoryFeed
+	// instanceChanged wakes heartbeats that wait for a change of their instance.
+	instanceChanged *instanceNotifier
+	feed            directoryFeed
 	// directoryStreams counts the open streams of the directory.
 	directoryStreams atomic.Int64
-	// gateways are those that take the directory from this replica.
+	// gateways lists the gateways that receive the directory from this replica.
 	gateways *gatewayList
 	cluster  message.ClusterID
-	// background holds the goroutines of table streams and of senders that stop.
+	// background runs the goroutines of table streams and of senders that are stopping.
 	background conc.WaitGroup
 
 	core        *consensus.Core
 	coordinator *coordinator.Coordinator
 	driver      *driver.Driver
 	host        *host
-	turns       *turnWatch
-	// contact is when this replica heard the others.
-	contact *groupContact
+	watchdog    *loopWatchdog
+	// contacts records when this replica last heard from the other replicas.
+	contacts *contactTracker
 
 	inbox     chan consensus.Message
 	proposals chan driver.Proposal
@@ -85,31 +85,31 @@
 	results   chan leaseResult
 	joinInbox chan consensus.Member
 	transfers chan chan error
-	// snapshots brings the end of the snapshot that is being written.
+	// snapshots receives the result of a snapshot write.
 	snapshots chan driver.SavedSnapshot
-	// inspections run in the loop, to read what the coordinator knows.
+	// inspections are run by the loop to read the state of the coordinator.
 	inspections chan func(*coordinator.Coordinator)
 
-	// stateLock guards state against readers; the loop alone writes.
+	// stateLock guards state against concurrent readers; only the loop writes.
 	stateLock sync.RWMutex
 	state     *state.State
 	published atomic.Pointer[published]
-	// leadership is closed when this replica stops leading, and replaced when
-	// it begins.
+	// leadershipLock guards the fields below. leadership is cancelled when this replica stops leading, and
+	// replaced when it begins to lead.
 	leadershipLock sync.Mutex
 	leadership     context.Context
 	endLeadership  context.CancelFunc
-	// ledSince is when this replica began to lead, by its clock.
-	ledSince time.Duration
+	// leadingStartedAt is when this replica began to lead, by its clock.
+	leadingStartedAt time.Duration
 }
 
-// published is what other goroutines may know of the loop's newest state.
+// published is the state of the loop that other goroutines may read.
 type published struct {
 	status  consensus.Status
 	leading bool
 }
 
-// leaseResult is the end of one lease message. Failed messages have no answer.
+// leaseResult is the outcome of one lease message. answer is nil if the message failed.
 type leaseResult struct {
 	server   state.ServerID
 	sequence uint64
@@ -136,8 +136,8 @@
 		inspections: make(chan func(*coordinator.Coordinator)),
 		state:       disk.State,
 	}
-	r.turns = newTurnWatch(r.clock, settings)
-	r.contact = newGroupContact(r.clock.Now())
+	r.watchdog = newLoopWatchdog(r.clock, settings)
+	r.contacts = newContactTracker(r.clock.Now())
 	r.history = tablestream.NewHistory(settings.Table.HistoryDeltas, r.state.Revision())
 	consensusConfig := driver.ConsensusConfig(settings.Consensus, self.ID, rand.Uint64())
 	core, err := consensus.New(consensusConfig, disk.Initial, disk.Newest)
@@ -157,34 +157,34 @@
 		SnapshotEntries: settings.Consensus.SnapshotEntries,
 		SnapshotBytes:   settings.Consensus.SnapshotBytes,
 	})
-	r.partitions = newPartitionKeeper(settings, r)
-	r.heartbeats = newHeartbeatKeeper(settings.Heartbeat, r)
-	r.quotas = newQuotaKeeper(settings.Quota, r.clock, r.view, r.leadingSince)
-	r.suspects = newSuspectKeeper(settings.Quarantine, r)
+	r.partitions = newPartitionManager(settings, r)
+	r.heartbeats = newHeartbeatManager(settings.Heartbeat, r)
+	r.quotas = newQuotaManager(settings.Quota, r.clock, r.view, r.leadingSince)
+	r.suspects = newSuspectManager(settings.Quarantine, r)
 	r.directoryChanged = broadcast.New()
 	r.feed = newDirectoryFeed()
-	r.instanceNews = newInstanceNews()
+	r.instanceChanged = newInstanceNotifier()
 	r.gateways = newGatewayList()
 	r.publish()
 	return r, nil
 }
 
-// run drives the replica until the context ends or the disk fails.
+// run runs the loop of the replica until the context ends or the disk fails.
 func (r *replica) run(ctx context.Context) error {
 	ticker := time.NewTicker(r.settings.Consensus.TickInterval)
 	defer ticker.Stop()
 	defer r.driver.StopLeading()
 	ctx, cancel := context.WithCancel(ctx)
-	var keeping conc.WaitGroup
-	keeping.Go(func() { r.partitions.run(ctx) })
-	keeping.Go(func() { r.heartbeats.run(ctx) })
-	keeping.Go(func() { r.suspects.run(ctx) })
-	keeping.Go(func() { r.runFeed(ctx) })
-	keeping.Go(func() { r.reportLoad(ctx) })
-	keeping.Go(func() { r.watchTurns(ctx) })
-	defer keeping.Wait()
+	var workers conc.WaitGroup
+	workers.Go(func() { r.partitions.run(ctx) })
+	workers.Go(func() { r.heartbeats.run(ctx) })
+	workers.Go(func() { r.suspects.run(ctx) })
+	workers.Go(func() { r.runFeed(ctx) })
+	workers.Go(func() { r.reportLoad(ctx) })
+	workers.Go(func() { r.watchLoop(ctx) })
+	defer workers.Wait()
 	defer cancel()
-	defer r.endSnapshot()
+	defer r.awaitSnapshotWriter()
 	for {
 		select {
 		case <-ctx.Done():
@@ -198,7 +198,7 @@
 		case input := <-r.reads:
 			r.driver.Read(input)
 		case input := <-r.results:
-			r.leaseAnswered(input)
+			r.handleLeaseResult(input)
 		case member := <-r.joinInbox:
 			r.driver.Join(member)
 		case done := <-r.transfers:
@@ -210,19 +210,19 @@
 		case inspect := <-r.inspections:
 			inspect(r.coordinator)
 		}
-		r.takeMore()
+		r.drainInputs()
 		if err := r.driver.HandleReady(); err != nil {
 			return err
 		}
-		r.host.forgetRemoved()
-		r.turns.turn()
+		r.host.stopFormerPeers()
+		r.watchdog.iterationDone()
 		r.driver.ObserveRole()
 		r.publish()
 	}
 }
 
-// takeMore takes inputs that wait already, so that one sync serves many.
-func (r *replica) takeMore() {
+// drainInputs processes inputs that are already queued, so that one sync of the log covers many of them.
+func (r *replica) drainInputs() {
 	for range inputsPerRound {
 		select {
 		case input := <-r.inbox:
@@ -232,16 +232,16 @@
 		case input := <-r.reads:
 			r.driver.Read(input)
 		case input := <-r.results:
-			r.leaseAnswered(input)
+			r.handleLeaseResult(input)
 		default:
 			return
 		}
 	}
 }
 
-// endSnapshot waits for the writer when the loop ends, and leaves what it wrote
-// to the next start.
-func (r *replica) endSnapshot() {
+// awaitSnapshotWriter waits for a running snapshot write when the loop ends. The next start recovers what it
+// wrote.
+func (r *replica) awaitSnapshotWriter() {
 	if r.driver.WritingSnapshot() {
 		<-r.snapshots
 	}
@@ -249,11 +249,11 @@
 
 func (r *replica) step(input consensus.Message) {
 	if err := r.core.Step(input); err != nil {
-		r.log.WithError(err).Debug("consensus message refused")
+		r.log.WithError(err).Debug("consensus message rejected")
 	}
 }
 
-func (r *replica) leaseAnswered(result leaseResult) {
+func (r *replica) handleLeaseResult(result leaseResult) {
 	if result.answer == nil {
 		r.coordinator.Failed(result.server, result.sequence)
 		return
@@ -262,9 +262,9 @@
 }
 
 func (r *replica) publish() {
-	known := &published{status: r.core.Status(), leading: r.driver.Leading()}
-	if known.status.Leader != 0 {
-		r.contact.leaderKnown(r.clock.Now())
+	current := &published{status: r.core.Status(), leading: r.driver.Leading()}
+	if current.status.Leader != 0 {
+		r.contacts.recordLeader(r.clock.Now())
 	}
-	r.published.Store(known)
+	r.published.Store(current)
 }
--- a/internal/controller/room.go
+++ b/internal/controller/room.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// roomInterval is the time between two looks whether a full disk has room.
-	roomInterval = 250 * time.Millisecond
-	// roomBytes is the room that must be there.
-	roomBytes = 64 << 10
-	roomFile  = "room"
+	// spaceCheckInterval is the interval at which a full disk is checked for free space.
+	spaceCheckInterval = 250 * time.Millisecond
+	// requiredSpaceBytes is the free space that the disk must have.
+	requiredSpaceBytes = 64 << 10
+	spaceProbeFile     = "room"
 )
 
-// awaitRoom waits until a file of some size can be written, and reports false if the
-// context ends before.
-func awaitRoom(ctx context.Context, files vfs.FileSystem, folder string) bool {
-	ticker := time.NewTicker(roomInterval)
+// awaitDiskSpace waits until a probe file of requiredSpaceBytes can be written. It reports false if the
+// context ends first.
+func awaitDiskSpace(ctx context.Context, files vfs.FileSystem, folder string) bool {
+	ticker := time.NewTicker(spaceCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -27,13 +27,13 @@
 			return false
 		case <-ticker.C:
 		}
-		if hasRoom(files, filepath.Join(folder, roomFile)) {
+		if hasDiskSpace(files, filepath.Join(folder, spaceProbeFile)) {
 			return true
 		}
 	}
 }
 
-func hasRoom(files vfs.FileSystem, path string) bool {
+func hasDiskSpace(files vfs.FileSystem, path string) bool {
 	if files.MkdirAll(filepath.Dir(path)) != nil {
 		return false
 	}
@@ -41,7 +41,7 @@
 	if err != nil {
 		return false
 	}
-	_, writeError := file.Write(make([]byte, roomBytes))
+	_, writeError := file.Write(make([]byte, requiredSpaceBytes))
 	closeError := file.Close()
 	removeError := files.Remove(path)
 	return writeError == nil && closeError == nil && removeError == nil
--- a/internal/controller/run.go
+++ b/internal/controller/run.go
@@ -23,16 +23,15 @@
 	"github.com/thorntiller/thorntiller/internal/wire"
 )
 
-// Run runs a controller until the context ends, and then stops it gracefully.
-// It returns an error when the replica cannot start or its disk fails.
+// Run runs a controller until the context ends and then stops it gracefully. It returns an error if the
+// replica cannot start or its disk fails.
 func Run(ctx context.Context, settings config.Controller, log *logrus.Entry) error {
 	return RunOn(ctx, vfs.System{}, settings, log)
 }
 
-// RunOn is Run on a given file layer, so that a run can inject a disk's faults. A
-// replica whose disk is full leaves its group until there is room, and then begins
-// anew from what the disk holds: it writes nothing of which it does not know whether
-// it is there.
+// RunOn is Run on a given file system, so that disk faults can be injected. A replica whose disk is full
+// leaves its group until there is free space, and then restarts from the content of the disk: it never
+// continues after a write whose outcome is unknown.
 func RunOn(ctx context.Context, files vfs.FileSystem, settings config.Controller, log *logrus.Entry) error {
 	lock, err := identity.Lock(settings.DataDirectory)
 	if err != nil {
@@ -44,8 +43,8 @@
 		if !errors.Is(err, syscall.ENOSPC) {
 			return err
 		}
-		telemetry.WithError(log, telemetry.EventDiskFull, err).Warn("the disk is full; this replica waits for room")
-		if !awaitRoom(ctx, files, settings.DataDirectory) {
+		telemetry.WithError(log, telemetry.EventDiskFull, err).Warn("disk is full; replica waits for free space")
+		if !awaitDiskSpace(ctx, files, settings.DataDirectory) {
 			return nil
 		}
 	}
@@ -61,28 +60,28 @@
 
 // node is one controller process.
 type node struct {
-	settings  config.Controller
-	log       *logrus.Entry
-	files     vfs.FileSystem
-	security  *security
-	formation *formation
-	replica   *replica
-	peers     net.Listener
-	operators net.Listener
+	settings     config.Controller
+	log          *logrus.Entry
+	files        vfs.FileSystem
+	security     *security
+	formation    *formation
+	replica      *replica
+	peerListener net.Listener
+	apiListener  net.Listener
 }
 
 func newNode(files vfs.FileSystem, settings config.Controller, log *logrus.Entry) (*node, error) {
-	secured, err := newSecurity(settings)
+	security, err := newSecurity(settings)
 	if err != nil {
 		return nil, err
 	}
-	n := &node{settings: settings, log: log, files: files, security: secured}
+	n := &node{settings: settings, log: log, files: files, security: security}
 	self, err := durable.LoadIdentity(n.files, settings.DataDirectory, settings.FirstStart, newReplicaID)
 	if err != nil {
 		return nil, err
 	}
 	n.formation = &formation{
-		settings: settings, log: log, dial: secured.dial(), known: self,
+		settings: settings, log: log, dial: security.dial(), own: self,
 		save: func(next identity.Identity) error { return identity.Save(n.files, settings.DataDirectory, next) },
 		self: consensus.Member{
 			ID: self.Replica, Name: settings.Name, Address: settings.PeerAddress, APIAddress: settings.APIAddress,
@@ -91,21 +90,20 @@
 	return n, n.listen()
 }
 
-// newReplicaID draws an identifier. Zero means no replica, so the highest bit
-// is set.
+// newReplicaID returns a random identifier. Its highest bit is set because zero means no replica.
 func newReplicaID() consensus.ReplicaID {
 	return consensus.ReplicaID(rand.Uint64() | 1<<63)
 }
 
 func (n *node) listen() error {
 	var err error
-	if n.peers, err = net.Listen("tcp", n.settings.PeerAddress); err != nil {
+	if n.peerListener, err = net.Listen("tcp", n.settings.PeerAddress); err != nil {
 		return eris.Wrapf(err, "peer_address: listen on %s", n.settings.PeerAddress)
 	}
-	if n.operators, err = net.Listen("tcp", n.settings.APIAddress); err != nil {
+	if n.apiListener, err = net.Listen("tcp", n.settings.APIAddress); err != nil {
 		return eris.Wrapf(err, "api_address: listen on %s", n.settings.APIAddress)
 	}
-	n.operators = wire.Patient(n.operators, func(err error) {
+	n.apiListener = wire.Patient(n.apiListener, func(err error) {
 		n.log.WithError(err).Debug("connection to the API not accepted")
 	})
 	telemetry.With(n.log, telemetry.EventListening).WithField("peer_address", n.settings.PeerAddress).
@@ -113,16 +111,16 @@
 	return nil
 }
 
-// run forms or joins the group, then runs the replica. The peer listener serves
-// from the start, since a group forms by asking.
+// run forms or joins the group and then runs the replica. The peer listener serves from the start, since
+// controllers form a group by asking each other.
 func (n *node) run(ctx context.Context) error {
-	serving, stopServing := context.WithCancel(context.Background())
+	serveContext, stopServing := context.WithCancel(context.Background())
 	var background conc.WaitGroup
 	defer background.Wait()
 	defer stopServing()
 	ready := make(chan struct{})
-	background.Go(func() { n.servePeers(serving, ready) })
-	background.Go(func() { n.security.store.Watch(serving, n.settings.TLS.ReloadInterval, n.log) })
+	background.Go(func() { n.servePeers(serveContext, ready) })
+	background.Go(func() { n.security.store.Watch(serveContext, n.settings.TLS.ReloadInterval, n.log) })
 	if err := n.formation.run(ctx); err != nil {
 		if ctx.Err() != nil {
 			return nil
@@ -133,75 +131,75 @@
 		return err
 	}
 	close(ready)
-	return n.runReplica(ctx, serving, &background)
+	return n.runReplica(ctx, serveContext, &background)
 }
 
 func (n *node) startReplica() error {
 	self := n.formation.identity()
 	disk, err := durable.Open(n.files, n.settings.DataDirectory, self, durable.Options{})
 	if err != nil {
-		telemetry.WithError(n.log, telemetry.EventDiskFailed, err).Error("the data folder cannot be read")
+		telemetry.WithError(n.log, telemetry.EventDiskFailed, err).Error("cannot open the data directory")
 		return err
 	}
-	measured := newMetrics()
-	n.replica, err = newReplica(n.settings, n.log, n.formation.self, disk, measured)
+	metrics := newMetrics()
+	n.replica, err = newReplica(n.settings, n.log, n.formation.self, disk, metrics)
 	if err != nil {
 		return err
 	}
 	n.replica.cluster = self.Cluster
-	measured.attach(n.replica)
+	metrics.attach(n.replica)
 	telemetry.With(n.log, telemetry.EventRecovered).WithField("index", disk.Initial.Snapshot.Index).
-		WithField("entries", len(disk.Initial.Entries)).Info("state read from the data folder")
+		WithField("entries", len(disk.Initial.Entries)).Info("state recovered from the data directory")
 	return nil
 }
 
-// runReplica runs the replica and all that needs it. On a planned stop the
-// leadership is handed over first, so that nothing waits for an election.
-func (n *node) runReplica(ctx, serving context.Context, background *conc.WaitGroup) error {
+// runReplica runs the replica and the services that depend on it. A planned stop first transfers the
+// leadership, so that no caller has to wait for an election.
+func (n *node) runReplica(ctx, serveContext context.Context, background *conc.WaitGroup) error {
 	r := n.replica
-	driving, stopDriving := context.WithCancel(context.Background())
+	driveContext, stopDriving := context.WithCancel(context.Background())
 	defer stopDriving()
 	r.peers = newPeers(r, n.security.dial(), n.formation.member)
 	defer r.peers.stop()
-	r.leases = newLeaseSender(driving, n.settings.Lease, r.results)
+	r.leases = newLeaseSender(driveContext, n.settings.Lease, r.results)
 	n.formation.attach(r.formationStatus, r.requestJoin)
 	service := newAPI(n.settings.API, r, n.log, n.security, r.metrics.registry, r.ready)
-	background.Go(func() { n.serveOperators(service) })
-	background.Go(func() { newPlatformPoller(n.settings.Platform, r).run(serving) })
-	background.Go(func() { n.formation.keepJoining(serving, r.belongs) })
+	background.Go(func() { n.serveAPI(service) })
+	background.Go(func() { newPlatformPoller(n.settings.Platform, r).run(serveContext) })
+	background.Go(func() { n.formation.keepJoining(serveContext, r.isActiveVoter) })
 	ended := make(chan error, 1)
-	background.Go(func() { ended <- r.run(driving) })
+	background.Go(func() { ended <- r.run(driveContext) })
 	var err error
 	select {
 	case err = <-ended:
-		telemetry.WithError(n.log, telemetry.EventDiskFailed, err).Error("the replica cannot go on")
+		telemetry.WithError(n.log, telemetry.EventDiskFailed, err).Error("replica stopped by a disk failure")
 	case <-ctx.Done():
 		n.handOver()
 		stopDriving()
 		err = <-ended
 	}
-	n.stopOperators(service)
+	n.stopAPI(service)
 	r.leases.stop()
 	return err
 }
 
-func (n *node) serveOperators(service *api) {
-	if err := service.serve(n.security.listener(n.operators)); err != nil {
-		telemetry.WithError(n.log, telemetry.EventFailed, err).Error("the intent API ended")
+func (n *node) serveAPI(service *api) {
+	if err := service.serve(n.security.listener(n.apiListener)); err != nil {
+		telemetry.WithError(n.log, telemetry.EventFailed, err).Error("intent API server stopped")
 	}
 }
 
-func (n *node) stopOperators(service *api) {
+func (n *node) stopAPI(service *api) {
 	ctx, cancel := context.WithTimeout(context.Background(), n.settings.StopTimeout)
 	defer cancel()
 	if err := service.stop(ctx); err != nil {
-		n.log.WithError(err).Debug("calls were still open at the end")
+		n.log.WithError(err).Debug("API calls were still open at shutdown")
 	}
 }
 
-// handOver asks other voters to lead until one does. The order is repeated
-// after an election timeout, since the voter that got it may just have died. It
-// gives up when no voter has answered for two such timeouts.
+// handOver asks other voters to take over the leadership until one does. It repeats the request after an
+// election timeout, since the chosen voter may have just failed, and gives up when no voter has answered for
+// two election timeouts.
 func (n *node) handOver() {
 	telemetry.With(n.log, telemetry.EventStopping).Info("stopping")
 	ctx, cancel := context.WithTimeout(context.Background(), n.settings.StopTimeout)
@@ -209,19 +207,19 @@
 	if _, leads := n.replica.leadershipContext(); !leads {
 		return
 	}
-	const look = 5 * time.Millisecond
-	ticker := time.NewTicker(look)
+	const pollInterval = 5 * time.Millisecond
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	consensusSettings := n.settings.Consensus
 	electionTimeout := time.Duration(consensusSettings.ElectionTicks) * consensusSettings.TickInterval
-	answered := time.Now() // when a voter was last known to answer
-	var ordered time.Time
+	lastActive := time.Now() // when another voter was last known to be active
+	var lastRequest time.Time
 	for n.replica.published.Load().status.Role == consensus.RoleLeader {
-		if time.Since(ordered) > electionTimeout && n.replica.Transfer(ctx) == nil {
-			ordered = time.Now()
-			answered = ordered
+		if time.Since(lastRequest) > electionTimeout && n.replica.Transfer(ctx) == nil {
+			lastRequest = time.Now()
+			lastActive = lastRequest
 		}
-		if time.Since(answered) > 2*electionTimeout {
+		if time.Since(lastActive) > 2*electionTimeout {
 			return
 		}
 		select {
@@ -230,19 +228,19 @@
 		case <-ticker.C:
 		}
 	}
-	telemetry.With(n.log, telemetry.EventLeaderTransferred).Info("leadership handed over")
+	telemetry.With(n.log, telemetry.EventLeaderTransferred).Info("leadership transferred")
 }
 
-// servePeers accepts connections from controllers and routers.
+// servePeers accepts connections from controllers, routers and gateways.
 func (n *node) servePeers(ctx context.Context, ready <-chan struct{}) {
 	server := wire.Server{MaxConnections: n.settings.Table.StreamLimit, Options: wire.Options{WriteTimeout: n.settings.Table.WriteTimeout}, Panicked: telemetry.PanicLogger(n.log)}
-	err := server.Serve(ctx, n.security.listener(n.peers), func(ctx context.Context, connection *wire.Conn) {
+	err := server.Serve(ctx, n.security.listener(n.peerListener), func(ctx context.Context, connection *wire.Conn) {
 		if err := n.servePeer(ctx, connection, ready); err != nil {
 			n.log.WithError(err).Debug("peer connection ended")
 		}
 	})
 	if err != nil && ctx.Err() == nil {
-		telemetry.WithError(n.log, telemetry.EventFailed, err).Error("the peer listener ended")
+		telemetry.WithError(n.log, telemetry.EventFailed, err).Error("peer listener stopped")
 	}
 }
 
@@ -268,13 +266,13 @@
 	case message.PurposeDirectory:
 		return serveDirectory(ctx, n.replica, connection)
 	case message.PurposeDemand:
-		return takeDemand(ctx, n.replica, connection, hello.From)
+		return serveDemand(ctx, n.replica, connection, hello.From)
 	case message.PurposeHeartbeats:
 		return serveHeartbeats(ctx, n.replica, connection)
 	case message.PurposeTable:
 		return serveTable(ctx, n.replica, n.replica.cluster, connection)
 	default:
-		return eris.Errorf("purpose %q is not served here", hello.Purpose)
+		return eris.Errorf("purpose %q is not served by a controller", hello.Purpose)
 	}
 }
 
--- a/internal/controller/security.go
+++ b/internal/controller/security.go
@@ -14,8 +14,8 @@
 	"github.com/thorntiller/thorntiller/internal/wire"
 )
 
-// security authenticates peers and operators by their certificates. Its store
-// is nil where the settings ask for plain text.
+// security authenticates peers and operators by their certificates. store is nil if the settings ask for plain
+// text.
 type security struct {
 	settings config.Controller
 	store    *certificate.Store
@@ -26,7 +26,7 @@
 	return &security{settings: settings, store: store}, err
 }
 
-// dial returns how connections to other processes are opened; nil means plain.
+// dial returns the function that opens connections to other processes; nil means plain text.
 func (s *security) dial() wire.DialFunc {
 	if s.store == nil {
 		return nil
@@ -41,16 +41,16 @@
 	return s.store.Listener(inner)
 }
 
-// checkPeer requires that a peer is who it says, and that only controllers take part in
-// consensus and formation: those that the settings list, or with seeds those whose
-// certificates bear the unit of controllers.
+// checkPeer requires that a peer has the name it claims, and that only controllers take part in consensus and
+// formation: those in the settings or, with seeds, those whose certificates contain the organizational unit of
+// controllers.
 func (s *security) checkPeer(connection *wire.Conn, hello message.Hello) error {
 	if s.store == nil {
 		return nil
 	}
 	name, known := connection.PeerName()
 	if !known || name != hello.From {
-		return eris.Errorf("the peer says that it is %q, its certificate says %q", hello.From, name)
+		return eris.Errorf("peer claims the name %q, but its certificate has the name %q", hello.From, name)
 	}
 	if hello.Purpose != message.PurposeConsensus && hello.Purpose != message.PurposeFormation {
 		return nil
@@ -66,16 +66,16 @@
 	return eris.Errorf("%q is not among the configured controllers", name)
 }
 
-// checkUnit requires that a certificate is that of a controller.
+// checkUnit requires that a certificate belongs to a controller.
 func (s *security) checkUnit(name string, units []string) error {
 	if slices.Contains(units, s.settings.ControllerUnit) {
 		return nil
 	}
-	return eris.Errorf("the certificate of %q has the organizational units %q: one of a controller bears %q, see controller_unit", name, units, s.settings.ControllerUnit)
+	return eris.Errorf("the certificate of %q has the organizational units %q; that of a controller must have %q, see controller_unit", name, units, s.settings.ControllerUnit)
 }
 
-// authorize requires a right of the caller and returns the name to record:
-// that of the certificate, or the claimed one where there are no certificates.
+// authorize requires a right of the caller and returns the name to record: that of its certificate, or the
+// claimed one if certificates are not used.
 func (s *security) authorize(call fiber.Ctx, right config.Right, claimed string) (string, error) {
 	if s.store == nil {
 		return claimed, nil
--- a/internal/controller/seeds_test.go
+++ b/internal/controller/seeds_test.go
@@ -19,11 +19,11 @@
 	"github.com/thorntiller/thorntiller/internal/vfs"
 )
 
-// seedCount of the machines are the seeds, which found the group.
+// seedCount is the number of machines that are seeds, which form the group.
 const seedCount = 3
 
-// machineAddress returns a loopback address of this process's own for each machine,
-// so that all of them can use the same port.
+// machineAddress returns a loopback address for each machine that is specific to this process, so that all
+// machines can use the same port.
 func machineAddress(number int) string {
 	return net.IPv4(127, byte(128+os.Getpid()>>15&0x7f), byte(os.Getpid()>>7), byte(number+10*(os.Getpid()&0xf))).String()
 }
@@ -60,8 +60,8 @@
 	return g
 }
 
-// encrypt gives each controller a certificate with a unit, and the client one.
-func (g *group) encrypt(unit func(name string) string) {
+// enableTLS issues a certificate with an organizational unit to each controller, and one to the client.
+func (g *group) enableTLS(unit func(name string) string) {
 	g.t.Helper()
 	issuer, err := authority.New(g.t.TempDir(), "authority")
 	must(g.t, err)
@@ -85,12 +85,13 @@
 	must(g.t, err)
 }
 
-// TestGroupBySeedsWithCertificates guards against controllers that find each other by seeds and refuse
-// each other: no settings list their names. One whose certificate is not a controller's stays out.
+// TestGroupBySeedsWithCertificates guards against controllers that find each other by seeds but reject each
+// other because no settings list their names. A process whose certificate is not that of a controller must
+// stay out.
 func TestGroupBySeedsWithCertificates(t *testing.T) {
 	const size, stranger = 4, "c4"
 	g := newSeededGroup(t, size)
-	g.encrypt(func(name string) string {
+	g.enableTLS(func(name string) string {
 		if name == stranger {
 			return ""
 		}
@@ -115,7 +116,7 @@
 	return names
 }
 
-// wantVoters waits until the members with a vote bear the names.
+// wantVoters waits until the voting members have the given names.
 func (g *group) wantVoters(names ...string) {
 	g.t.Helper()
 	g.eventually(fmt.Sprint("voters ", names), func() bool {
@@ -126,10 +127,10 @@
 	})
 }
 
-// TestGroupBySeeds: three seeds found a group, which the other machines join. With a
-// machine in the lead that founded nothing, one that lost its disk takes its own place
-// again, and an empty one at another address that of a machine that is gone. The first
-// of these waited for ever: it knew the founders alone, and could not answer the leader.
+// TestGroupBySeeds: three seeds form a group, which the other machines join. While a machine leads that is not
+// a founder, a controller that lost its disk takes its former place again, and an empty one at another address
+// takes that of a machine that is gone. The former used to wait forever: it knew only the founders and could
+// not answer the leader.
 func TestGroupBySeeds(t *testing.T) {
 	const size = 6
 	g := newSeededGroup(t, size)
@@ -140,7 +141,7 @@
 	for number := range g.processes {
 		g.processes[number].settings.FirstStart = false
 	}
-	g.leadBeyondSeeds()
+	g.moveLeadershipBeyondSeeds()
 	g.stop(0)
 	if err := os.RemoveAll(g.processes[0].settings.DataDirectory); err != nil {
 		t.Fatal(err)
@@ -158,32 +159,32 @@
 	g.wantVoters("c1", "c3", "c4", "c5", "c6")
 }
 
-// leadBeyondSeeds makes a machine lead that founded nothing. A transfer goes to the
-// first of those with the longest log, which may be the same two founders for ever;
-// so founders that lead are stopped, and one that is left hands over to the others.
-func (g *group) leadBeyondSeeds() {
+// moveLeadershipBeyondSeeds makes a machine lead that is not a founder. A transfer goes to the first of those
+// with the longest log, which may be the same two founders forever; so founders that lead are stopped, and the
+// remaining one transfers to the others.
+func (g *group) moveLeadershipBeyondSeeds() {
 	g.t.Helper()
 	var stopped []int
 	for leader := g.leader(); leader < seedCount && len(stopped) < seedCount-1; leader = g.leader() {
 		g.stop(leader)
 		stopped = append(stopped, leader)
 	}
-	g.eventually("a machine leads that founded nothing", func() bool {
+	g.eventually("a machine leads that is not a founder", func() bool {
 		if g.leader() >= seedCount {
 			return true
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		_ = g.client.Transfer(ctx) // tried again
+		_ = g.client.Transfer(ctx) // repeated by eventually
 		return false
 	})
 	for _, number := range stopped {
 		g.start(number)
 	}
-	g.caughtUp()
+	g.waitCaughtUp()
 }
 
-// memberID returns the identifier of the voter that bears a name, zero for none.
+// memberID returns the identifier of the voter with a name, or zero.
 func (g *group) memberID(name string) consensus.ReplicaID {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -12,8 +12,8 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
-// statusTimeout bounds the wait for the quorum that makes a status current. A
-// replica that cannot reach one answers all the same, marked as not current.
+// statusTimeout bounds the wait for the quorum that confirms a status as current. A replica that cannot reach
+// a quorum still answers, with a status marked as not current.
 const statusTimeout = 300 * time.Millisecond
 
 func (a *api) status(call fiber.Ctx) error {
@@ -38,7 +38,7 @@
 	return call.JSON(a.replica.published.Load().status.Membership.Members)
 }
 
-// describe returns the status of this replica and of what it knows.
+// describe returns the status of this replica and what it knows of the cluster.
 func (r *replica) describe(ctx context.Context, current bool) intentapi.Status {
 	known := r.published.Load()
 	views := r.serverViews(ctx)
@@ -60,37 +60,37 @@
 	return status
 }
 
-// serverViews returns what a leader knows of the servers, and nothing on a
-// follower or once the context has ended.
+// serverViews returns what the coordinator of a leader knows of the servers; nothing on a follower or once the
+// context has ended.
 func (r *replica) serverViews(ctx context.Context) []coordinator.ServerView {
 	var views []coordinator.ServerView
 	r.inspect(ctx, func(leading *coordinator.Coordinator) { views = leading.Views(r.state) })
 	return views
 }
 
-// handovers returns what a leader measured of moves, and nothing on a follower
-// or once the context has ended.
+// handovers returns how long moved shards had no owner, as measured by a leader; nothing on a follower or once
+// the context has ended.
 func (r *replica) handovers(ctx context.Context) coordinator.Handovers {
 	var measured coordinator.Handovers
 	r.inspect(ctx, func(leading *coordinator.Coordinator) { measured = leading.Handovers() })
 	return measured
 }
 
-// inspect runs a function in the loop of a leader and waits for its end. The
-// caller must not hold the state's lock, which the loop may wait for.
-func (r *replica) inspect(ctx context.Context, look func(*coordinator.Coordinator)) {
+// inspect runs a function in the leader's loop and waits until it returns. The caller must not hold the state
+// lock, which the loop may wait for.
+func (r *replica) inspect(ctx context.Context, action func(*coordinator.Coordinator)) {
 	if !r.published.Load().leading {
 		return
 	}
 	done := make(chan struct{})
 	inspection := func(leading *coordinator.Coordinator) {
 		defer close(done)
-		look(leading)
+		action(leading)
 	}
 	select {
 	case r.inspections <- inspection:
 		<-done
-	case <-r.turns.current().Done():
+	case <-r.watchdog.stallContext().Done():
 	case <-ctx.Done():
 	}
 }
@@ -116,17 +116,17 @@
 }
 
 func serverStatuses(view *state.State, views []coordinator.ServerView) []intentapi.ServerStatus {
-	seen := make(map[state.ServerID]coordinator.ServerView, len(views))
+	viewByServer := make(map[state.ServerID]coordinator.ServerView, len(views))
 	for _, known := range views {
-		seen[known.Server] = known
+		viewByServer[known.Server] = known
 	}
 	statuses := make([]intentapi.ServerStatus, 0)
 	for _, server := range view.Servers() {
 		statuses = append(statuses, intentapi.ServerStatus{
 			ID: server.ID, Service: server.Service, Address: server.Address, Zone: server.Zone,
 			Intent: server.Intent, Open: server.Session.Open,
-			Shards: view.OwnedCount(server.ID), InForce: seen[server.ID].InForce,
-			Observed: seen[server.ID].Observed, Differences: seen[server.ID].Differences,
+			Shards: view.OwnedCount(server.ID), InForce: viewByServer[server.ID].InForce,
+			Observed: viewByServer[server.ID].Observed, Differences: viewByServer[server.ID].Differences,
 		})
 	}
 	return statuses
@@ -138,14 +138,14 @@
 	for _, known := range r.routers.list() {
 		statuses = append(statuses, intentapi.RouterStatus{
 			ID: known.router.ID, Address: known.router.Address, Zone: known.router.Zone, Open: true,
-			Revision: known.revision, LagMs: (now - known.confirmed).Milliseconds(),
+			Revision: known.revision, LagMs: (now - known.confirmedAt).Milliseconds(),
 			InForce: known.revision >= view.Revision(), Services: known.services, Problems: problemsOf(known.mismatches),
 		})
 	}
 	return statuses
 }
 
-// Transfer hands the leadership over and returns once the core took the order.
+// Transfer transfers the leadership and returns once the core has accepted the request.
 func (r *replica) Transfer(ctx context.Context) error {
 	done := make(chan error, 1)
 	select {
--- a/internal/controller/stream.go
+++ b/internal/controller/stream.go
@@ -14,23 +14,22 @@
 	"github.com/thorntiller/thorntiller/internal/wire"
 )
 
-// tableStream serves the routing table to one router: a snapshot if the router
-// holds nothing that the history leads on from, then deltas, and a pong for
-// each ping. Only the leader serves streams, since it alone knows every router.
+// tableStream serves the routing table to one router: a snapshot if the history does not continue from the
+// table that the router holds, then deltas, and a pong for each ping. Only the leader serves streams, since it
+// alone knows every router.
 type tableStream struct {
 	replica    *replica
 	cluster    message.ClusterID
 	connection *wire.Conn
 	router     state.RouterID
-	// process is what the router said of itself.
-	process state.Router
-	// times are the settings that the router told, nil for none, and mismatches
-	// their problems.
+	// routerInfo is how the router describes itself.
+	routerInfo state.Router
+	// times are the settings that the router reported, or nil, and mismatches the problems found in them.
 	times      *config.RouterTimes
 	mismatches []config.Mismatch
-	// leadership ends when this replica stops leading.
+	// leadership is cancelled when this replica stops leading.
 	leadership context.Context
-	// position is how far the router's table has come.
+	// position tracks which revision the router's table has reached.
 	position tablestream.Position
 	pongs    chan message.Pong
 }
@@ -45,7 +44,7 @@
 		return eris.New("a table connection must begin with a hello")
 	}
 	leadership, leads := r.leadershipContext()
-	if !leads || r.turns.current().Err() != nil {
+	if !leads || r.watchdog.stallContext().Err() != nil {
 		return refuseTable(ctx, r, connection)
 	}
 	ctx, cancel := context.WithCancel(ctx)
@@ -57,7 +56,7 @@
 	defer stopWatching()
 	stream := &tableStream{
 		replica: r, cluster: cluster, connection: connection,
-		router: first.Hello.Router.ID, process: first.Hello.Router, times: first.Hello.Times, leadership: leadership,
+		router: first.Hello.Router.ID, routerInfo: first.Hello.Router, times: first.Hello.Times, leadership: leadership,
 		position: tablestream.Subscribe(*first.Hello, r.tablePosition(), r.history),
 		pongs:    make(chan message.Pong, r.settings.Table.QueueFrames),
 	}
@@ -72,9 +71,8 @@
 // framesAfterRefusal bounds the frames that a refused router may still send.
 const framesAfterRefusal = 16
 
-// refuseTable names the leader, so that the router goes there, and waits for
-// the router to hang up: a connection that is closed with frames unread is
-// reset, by which the refusal may be lost.
+// refuseTable names the leader to the router and waits for the router to close the connection: closing it with
+// unread frames would reset it, and the refusal could be lost.
 func refuseTable(ctx context.Context, r *replica, connection *wire.Conn) error {
 	refusal := message.Refusal{Kind: fault.NotLeader, From: r.self.Address}
 	if leader, known := r.leader(); known {
@@ -107,14 +105,14 @@
 	return writeEnded
 }
 
-// readPings passes the router's pings on to answerPings until the connection
-// ends. A router whose pings find no room is held up by the connection.
+// readPings passes the pings of the router to answerPings until the connection ends. A full queue of pings
+// blocks the connection.
 func (s *tableStream) readPings(ctx context.Context) error {
 	pings := make(chan message.Ping, s.replica.settings.Table.QueueFrames)
 	ctx, cancel := context.WithCancel(ctx)
 	answered := make(chan error, 1)
 	s.replica.background.Go(func() {
-		// A failed round ends the stream, so that the router looks elsewhere.
+		// Closes the stream after a failed quorum round, so that the router tries another replica.
 		defer s.connection.Close()
 		answered <- s.answerPings(ctx, pings)
 	})
@@ -143,12 +141,11 @@
 	}
 }
 
-// answerPings answers all pings that wait by one quorum round, which begins
-// after the last of them came. A round for each ping would fall behind where a
-// round takes longer than the time between two pings.
+// answerPings answers all waiting pings with one quorum round, which begins after the last of them was
+// received. One round per ping would fall behind when a round takes longer than the interval between pings.
 func (s *tableStream) answerPings(ctx context.Context, pings <-chan message.Ping) error {
 	for {
-		waiting, err := takePings(ctx, pings)
+		waitingPings, err := takePings(ctx, pings)
 		if err != nil {
 			return err
 		}
@@ -156,7 +153,7 @@
 		if err != nil {
 			return err
 		}
-		for _, ping := range waiting {
+		for _, ping := range waitingPings {
 			pong := s.replica.routers.pong(s.router, ping, revision, s.replica.clock.Now())
 			s.replica.partitions.grant(s, ping, &pong)
 			s.answerQuarantine(ping, &pong)
@@ -169,11 +166,11 @@
 	}
 }
 
-// answerQuarantine takes what a router tells of requests under which servers crash, and tells it of
-// those that it does not know.
+// answerQuarantine processes the report of a router about requests under which servers crash, and adds to the
+// pong the list of suspects if the router has an older one.
 func (s *tableStream) answerQuarantine(ping message.Ping, pong *message.Pong) {
 	if ping.Quarantine != nil {
-		s.replica.suspects.hear(s.leadership, string(s.router), *ping.Quarantine)
+		s.replica.suspects.handleReport(s.leadership, string(s.router), *ping.Quarantine)
 		pong.Heard = ping.Quarantine.Number
 	}
 	s.replica.view(func(view *state.State) {
@@ -184,7 +181,7 @@
 	})
 }
 
-// takePings waits for one ping and takes those that wait behind it.
+// takePings waits for one ping and returns it with those queued behind it.
 func takePings(ctx context.Context, pings <-chan message.Ping) ([]message.Ping, error) {
 	var waiting []message.Ping
 	select {
@@ -228,15 +225,14 @@
 	}
 }
 
-// writeTable sends what the router lacks, and returns a channel that is closed
-// at the next change.
+// writeTable sends the changes that the router lacks, and returns a channel that is closed at the next change.
 func (s *tableStream) writeTable(ctx context.Context) (<-chan struct{}, error) {
-	changes, changed, reached := s.position.Next(s.replica.history)
-	for !reached {
-		if err := s.writeWhole(ctx); err != nil {
+	changes, changed, covered := s.position.Next(s.replica.history)
+	for !covered {
+		if err := s.writeFullTable(ctx); err != nil {
 			return changed, err
 		}
-		changes, changed, reached = s.position.Next(s.replica.history)
+		changes, changed, covered = s.position.Next(s.replica.history)
 	}
 	for _, change := range changes {
 		if err := s.writeChange(ctx, change); err != nil {
@@ -254,7 +250,7 @@
 	return s.connection.SendFrame(ctx, frame)
 }
 
-// catchUp tells the router of changes that did not touch its part.
+// catchUp advances the router past changes that did not affect its part of the table.
 func (s *tableStream) catchUp(ctx context.Context) error {
 	if s.position.Subset().Whole() {
 		return nil
@@ -269,12 +265,12 @@
 	return s.connection.Send(ctx, &message.ControllerFrame{Delta: &delta})
 }
 
-func (s *tableStream) writeWhole(ctx context.Context) error {
-	whole := s.replica.whole.get(s.replica, s.position.AtLeast())
+func (s *tableStream) writeFullTable(ctx context.Context) error {
+	encoded := s.replica.fullTable.get(s.replica, s.position.AtLeast())
 	send := func(frame wire.Frame) error { return s.connection.SendFrame(ctx, frame) }
-	if err := whole.send(s.position.Subset(), s.replica.settings.Table.SnapshotObjects, send); err != nil {
+	if err := encoded.send(s.position.Subset(), s.replica.settings.Table.SnapshotObjects, send); err != nil {
 		return err
 	}
-	s.position.SentTable(whole.table)
+	s.position.SentTable(encoded.table)
 	return nil
 }
--- a/internal/controller/stream_test.go
+++ b/internal/controller/stream_test.go
@@ -11,12 +11,12 @@
 	"github.com/thorntiller/thorntiller/internal/wire"
 )
 
-// subscriber is a router's side of a table connection.
+// subscriber is the router end of a table connection.
 type subscriber struct {
 	t          *testing.T
 	connection *wire.Conn
 	builder    *table.Builder
-	// snapshots counts whole tables by their first frames, deltas counts frames.
+	// snapshots counts full tables by their first frames, deltas counts frames.
 	snapshots, deltas int
 }
 
@@ -54,8 +54,8 @@
 	return frame
 }
 
-// reach applies frames until the table is at a revision.
-func (s *subscriber) reach(revision state.Revision) {
+// applyUntil receives and applies frames until the table is at a revision.
+func (s *subscriber) applyUntil(revision state.Revision) {
 	s.t.Helper()
 	for s.builder.Table().Revision() < revision {
 		frame := s.receive()
@@ -89,29 +89,29 @@
 			continue
 		}
 		if frame.Pong.Nonce != next {
-			s.t.Fatalf("pong %d came in place of %d", frame.Pong.Nonce, next)
+			s.t.Fatalf("got pong %d, want %d", frame.Pong.Nonce, next)
 		}
 		next++
 	}
 }
 
-func held(builder *table.Builder) message.RouterHello {
+func resumeHello(builder *table.Builder) message.RouterHello {
 	view := builder.Table()
 	return message.RouterHello{Cluster: view.Cluster(), Revision: view.Revision(), Digest: view.Digest()}
 }
 
-// TestTableStream: a new router gets one snapshot and then changes alone, also
-// when it comes back; one whose table differs gets a snapshot again; pongs echo
-// the ping and name a revision that covers every acknowledged change.
+// TestTableStream: a new router gets one snapshot and then only changes, also after a reconnect; a router
+// whose table differs gets a snapshot again; a pong echoes its ping and names a revision that covers every
+// acknowledged change.
 func TestTableStream(t *testing.T) {
 	g := newGroupInMemory(t)
 	leader := g.leader()
 	first := g.create("first").Accepted
 	builder := table.NewBuilder()
 	s := g.subscribe(leader, builder, message.RouterHello{})
-	s.reach(first)
+	s.applyUntil(first)
 	second := g.create("second").Accepted
-	s.reach(second)
+	s.applyUntil(second)
 	if s.snapshots != 1 || s.deltas < 1 {
 		t.Errorf("%d snapshots and %d deltas", s.snapshots, s.deltas)
 	}
@@ -132,32 +132,32 @@
 
 	s.connection.Close()
 	third := g.create("third").Accepted
-	s = g.subscribe(leader, builder, held(builder))
-	s.reach(third)
+	s = g.subscribe(leader, builder, resumeHello(builder))
+	s.applyUntil(third)
 	if s.snapshots != 0 || s.deltas < 1 {
 		t.Errorf("after a reconnect: %d snapshots and %d deltas", s.snapshots, s.deltas)
 	}
 
-	// The whole table that was made for the first router serves the next one,
-	// which changes then lead on; but not one that holds a newer table.
+	// The full table that was encoded for the first router is reused for the next one,
+	// followed by changes, but not for a router that holds a newer table.
 	s = g.subscribe(leader, table.NewBuilder(), message.RouterHello{})
-	s.reach(third)
+	s.applyUntil(third)
 	if s.snapshots != 1 || s.deltas < 2 {
 		t.Errorf("a second router: %d snapshots and %d deltas", s.snapshots, s.deltas)
 	}
-	damaged := held(builder)
+	damaged := resumeHello(builder)
 	damaged.Resync = true
 	s = g.subscribe(leader, builder, damaged)
 	if frame := s.receive(); frame.Snapshot == nil || frame.Snapshot.Revision < third {
 		t.Errorf("a resync from revision %d got %+v", third, frame)
 	}
 
-	stranger := held(builder)
-	stranger.Cluster = "another"
-	s = g.subscribe(leader, table.NewBuilder(), stranger)
-	s.reach(third)
+	otherCluster := resumeHello(builder)
+	otherCluster.Cluster = "another"
+	s = g.subscribe(leader, table.NewBuilder(), otherCluster)
+	s.applyUntil(third)
 	if s.snapshots != 1 {
-		t.Errorf("after another cluster's table: %d snapshots", s.snapshots)
+		t.Errorf("with the table of another cluster: %d snapshots, want 1", s.snapshots)
 	}
 
 	var answer message.ControllerFrame
--- a/internal/controller/suspects.go
+++ b/internal/controller/suspects.go
@@ -17,75 +17,76 @@
 )
 
 const (
-	// suspectTick is the time between two looks whether a decision about a request is due.
+	// suspectTick is the interval at which decisions about suspected requests are checked.
 	suspectTick = 100 * time.Millisecond
-	// gatherSuspects is how long a decision waits for further reports: the gateways that lost requests
-	// at one crash tell of it within a few milliseconds.
-	gatherSuspects = 5 * time.Millisecond
-	// fewSuspects is the number of suspects up to which changes are not held up, and manySuspectsPause
-	// the time between two changes of more: each change is sent as a whole list to all gateways, and
-	// the loss of a zone makes hundreds of suspects at once.
-	fewSuspects       = 32
-	manySuspectsPause = 250 * time.Millisecond
+	// suspectGatherDelay is how long a decision waits for further reports: the gateways that lost requests in
+	// the same crash report it within a few milliseconds.
+	suspectGatherDelay = 5 * time.Millisecond
+	// maxUndelayedSuspects is the number of suspects up to which changes are not delayed, and
+	// manySuspectsDelay the time between two changes of a longer list: each change sends the whole list to all
+	// gateways, and the loss of a zone makes hundreds of suspects at once.
+	maxUndelayedSuspects = 32
+	manySuspectsDelay    = 250 * time.Millisecond
 )
 
-// suspectKeeper puts requests in quarantine under which instances crash, while this replica leads. The
-// decisions are those of quarantine.Ledger. It is safe for concurrent use.
-type suspectKeeper struct {
+// suspectManager quarantines requests under which instances crash, while this replica leads. The decisions are
+// made by quarantine.Ledger. It is safe for concurrent use.
+type suspectManager struct {
 	replica  *replica
 	settings config.Quarantine
-	// heard gets an entry when there are reports to decide on.
-	heard     chan struct{}
+	// reported is signalled when there are reports to decide on.
+	reported  chan struct{}
 	decisions *prometheus.CounterVec
 	mutex     sync.Mutex
 	ledger    *quarantine.Ledger
-	// term is the leadership that the ledger works for.
-	term context.Context
+	// leadership is the term of leadership for which ledger holds state.
+	leadership context.Context
 }
 
-func newSuspectKeeper(settings config.Quarantine, r *replica) *suspectKeeper {
-	return &suspectKeeper{
-		replica: r, settings: settings, heard: make(chan struct{}, 1),
+func newSuspectManager(settings config.Quarantine, r *replica) *suspectManager {
+	return &suspectManager{
+		replica: r, settings: settings, reported: make(chan struct{}, 1),
 		decisions: r.metrics.registry.Counters("quarantine_decisions_total", "Decisions about requests under which instances crashed, by what was decided.", "decision"),
 	}
 }
 
-// hear takes the report of a gateway.
-func (k *suspectKeeper) hear(leadership context.Context, gateway string, report quarantine.Report) {
-	k.guarded(func() {
-		k.follow(leadership)
-		k.ledger.HandleReport(k.replica.clock.Now(), gateway, report)
+// handleReport passes the report of a gateway to the ledger.
+func (m *suspectManager) handleReport(leadership context.Context, gateway string, report quarantine.Report) {
+	m.guarded(func() {
+		m.startTermIfNew(leadership)
+		m.ledger.HandleReport(m.replica.clock.Now(), gateway, report)
 	})
 	select {
-	case k.heard <- struct{}{}:
+	case m.reported <- struct{}{}:
 	default:
 	}
 }
 
-// guarded runs a part of a decision. After a panic the ledger begins anew, as that of a new leader does. It
-// reports false then.
-func (k *suspectKeeper) guarded(decide func()) bool {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	if k.replica.guard("suspected requests", decide) {
+// guarded runs a part of a decision and reports false if it panicked. After a panic the ledger starts over
+// like that of a new leader.
+func (m *suspectManager) guarded(decide func()) bool {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	if m.replica.guard("suspected requests", decide) {
 		return true
 	}
-	k.ledger = nil
+	m.ledger = nil
 	return false
 }
 
-// follow begins anew in each term of leadership. The mutex must be held.
-func (k *suspectKeeper) follow(leadership context.Context) {
-	if k.ledger == nil || k.term != leadership {
-		k.term = leadership
-		k.ledger = quarantine.NewLedger(quarantine.Config{
-			Crashes: k.settings.Crashes, SuspectTime: k.settings.SuspectTime, Time: k.settings.Time,
+// startTermIfNew replaces the ledger when the leadership term has changed or the ledger was dropped. The mutex
+// must be held.
+func (m *suspectManager) startTermIfNew(leadership context.Context) {
+	if m.ledger == nil || m.leadership != leadership {
+		m.leadership = leadership
+		m.ledger = quarantine.NewLedger(quarantine.Config{
+			Crashes: m.settings.Crashes, SuspectTime: m.settings.SuspectTime, Time: m.settings.Time,
 		})
 	}
 }
 
-// run decides until the context ends.
-func (k *suspectKeeper) run(ctx context.Context) {
+// run decides on suspects until the context ends.
+func (m *suspectManager) run(ctx context.Context) {
 	ticker := time.NewTicker(suspectTick)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
@@ -93,81 +94,81 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-		case <-k.heard:
-			clock.Sleep(ctx, gatherSuspects)
+		case <-m.reported:
+			clock.Sleep(ctx, suspectGatherDelay)
 		}
-		leadership, leads := k.replica.leadershipContext()
-		if leads && k.decide(ctx, leadership) > fewSuspects {
-			clock.Sleep(ctx, manySuspectsPause)
+		leadership, leads := m.replica.leadershipContext()
+		if leads && m.decide(ctx, leadership) > maxUndelayedSuspects {
+			clock.Sleep(ctx, manySuspectsDelay)
 		}
 	}
 }
 
-// decide puts in force what the ledger decides, and returns the length of the list that it wrote.
-func (k *suspectKeeper) decide(ctx, leadership context.Context) int {
+// decide commits what the ledger decides and returns the length of the list that it wrote.
+func (m *suspectManager) decide(ctx, leadership context.Context) int {
 	var put directory.PutSuspects
 	var changed bool
 	var events []quarantine.Event
-	if !k.guarded(func() { put, changed, events = k.next(leadership) }) {
-		clock.Sleep(ctx, shortestHoldOff)
+	if !m.guarded(func() { put, changed, events = m.decideLocked(leadership) }) {
+		clock.Sleep(ctx, minBackoff)
 		return 0
 	}
 	for _, event := range events {
-		k.log(event)
+		m.log(event)
 	}
 	if !changed {
 		return 0
 	}
 	command := state.Command{Directory: &directory.Command{Suspects: &put}}
-	if err := k.replica.ProposeDecided(ctx, leadership, command); err != nil {
-		// The next look decides again on what is in force then.
-		k.replica.log.WithError(err).Debug("suspected requests not written")
+	if err := m.replica.ProposeDecided(ctx, leadership, command); err != nil {
+		// The next tick decides again from the state of that time.
+		m.replica.log.WithError(err).Debug("change of suspected requests not applied")
 		return len(put.List)
 	}
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	if k.term == leadership && k.ledger != nil {
-		k.ledger.Committed(put)
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	if m.leadership == leadership && m.ledger != nil {
+		m.ledger.Committed(put)
 	}
 	return len(put.List)
 }
 
-// next returns the suspects as they are to be, and whether the directory has others. The mutex must be
+// decideLocked returns the suspects to write and whether they differ from the directory. The mutex must be
 // held.
-func (k *suspectKeeper) next(leadership context.Context) (directory.PutSuspects, bool, []quarantine.Event) {
-	k.follow(leadership)
-	now := k.replica.clock.Now()
-	k.replica.view(func(view *state.State) { k.ledger.Adopt(now, view.Directory().Suspects()) })
-	for _, id := range k.ledger.CrashedInstances() {
-		if at, heard := k.replica.heartbeats.lastHeartbeat(leadership, id); heard {
-			k.ledger.HandleHeartbeat(now, id, at)
+func (m *suspectManager) decideLocked(leadership context.Context) (directory.PutSuspects, bool, []quarantine.Event) {
+	m.startTermIfNew(leadership)
+	now := m.replica.clock.Now()
+	m.replica.view(func(view *state.State) { m.ledger.Adopt(now, view.Directory().Suspects()) })
+	for _, id := range m.ledger.CrashedInstances() {
+		if heartbeatAt, heard := m.replica.heartbeats.lastHeartbeat(leadership, id); heard {
+			m.ledger.HandleHeartbeat(now, id, heartbeatAt)
 		}
 	}
-	put, changed := k.ledger.Decide(now)
-	return put, changed, k.ledger.Events()
+	put, changed := m.ledger.Decide(now)
+	return put, changed, m.ledger.Events()
 }
 
-func (k *suspectKeeper) log(event quarantine.Event) {
-	k.decisions.WithLabelValues(string(event.Decision)).Inc()
+func (m *suspectManager) log(event quarantine.Event) {
+	m.decisions.WithLabelValues(string(event.Decision)).Inc()
 	suspect := event.Suspect
-	line := telemetry.With(k.replica.log, telemetry.EventQuarantine).WithField("decision", event.Decision).
+	entry := telemetry.With(m.replica.log, telemetry.EventQuarantine).WithField("decision", event.Decision).
 		WithField(telemetry.FieldFingerprint, suspect.Fingerprint.String()).WithField(telemetry.FieldService, suspect.Service).
 		WithField("crashed", suspect.Crashes).WithField("age_ms", event.Age.Milliseconds())
 	level, text := logrus.InfoLevel, "request suspected of crashing its servers"
 	switch event.Decision {
 	case quarantine.Quarantined:
-		level, text = logrus.WarnLevel, "request in quarantine: it is sent to no server"
-		line = line.WithField("doubtful", suspect.Doubtful)
+		level, text = logrus.WarnLevel, "request quarantined: it is no longer sent to any server"
+		entry = entry.WithField("doubtful", suspect.Doubtful)
 	case quarantine.Cleared:
-		text = "request no longer suspected: a server answered it, or did not crash"
+		text = "request cleared: a server answered it or did not crash"
 	case quarantine.Tried:
-		text = "request in quarantine may be sent once"
-		line = line.WithField("gateway", suspect.TrialBy).WithField("trial", suspect.Trials)
+		text = "quarantined request may be sent once as a trial"
+		entry = entry.WithField("gateway", suspect.TrialBy).WithField("trial", suspect.Trials)
 	case quarantine.Expired:
-		text = "request no longer suspected: it did not come again"
+		text = "request no longer suspected: it was not seen again"
 	case quarantine.Evicted:
-		text = "request no longer suspected: there are too many others"
+		text = "request no longer suspected: evicted by too many other suspects"
 	default:
 	}
-	line.Log(level, text)
+	entry.Log(level, text)
 }
--- a/internal/controller/table_part_bench_test.go
+++ b/internal/controller/table_part_bench_test.go
@@ -11,7 +11,7 @@
 	"github.com/thorntiller/thorntiller/internal/wire"
 )
 
-// The largest size to design for, in services of one size.
+// The largest supported size, in services of equal size.
 const (
 	benchmarkServices = 31
 	benchmarkServers  = 200
@@ -22,7 +22,7 @@
 	return state.ServerID(fmt.Sprintf("server-%02d-%03d", service, number))
 }
 
-// benchmarkReplica holds services whose shards are owned in turn.
+// benchmarkReplica returns a replica with services whose shards are owned by their servers in rotation.
 func benchmarkReplica(b *testing.B) *replica {
 	view := state.New()
 	apply := func(command state.Command) {
@@ -53,8 +53,8 @@
 	return &replica{state: view, history: tablestream.NewHistory(benchmarkServices, view.Revision())}
 }
 
-// BenchmarkPartOfTable reports the bytes of a whole table, and of a change of one
-// shard somewhere, for routers of one, three and all services.
+// BenchmarkPartOfTable reports the bytes of a full table, and of a change of a single shard, for routers of
+// one, three and all services.
 func BenchmarkPartOfTable(b *testing.B) {
 	r := benchmarkReplica(b)
 	for _, count := range []int{1, 3, benchmarkServices} {
@@ -67,8 +67,8 @@
 			whole, changes, changed := 0, 0, 0
 			for b.Loop() {
 				whole = 0
-				made := newEncodedTable(r)
-				if err := made.send(subset, 1000, func(frame wire.Frame) error { whole += frame.Bytes(); return nil }); err != nil {
+				encoded := newEncodedTable(r)
+				if err := encoded.send(subset, 1000, func(frame wire.Frame) error { whole += frame.Bytes(); return nil }); err != nil {
 					b.Fatal(err)
 				}
 				newest := r.table()
@@ -85,7 +85,7 @@
 	}
 }
 
-// changedBytes begins the move of a shard and returns what a stream sends of it.
+// changedBytes starts moving a shard and returns the bytes that a stream sends for it.
 func changedBytes(b *testing.B, r *replica, position *tablestream.Position, service int) int {
 	shard, _ := r.state.ShardAt(state.ServiceName(serviceName(service)), 1<<63)
 	index := uint64(r.state.Revision()) + 1
@@ -102,7 +102,7 @@
 	}
 	changes, _, reached := position.Next(r.history)
 	if !reached {
-		b.Fatal("the history does not lead on")
+		b.Fatal("the history does not continue from the position")
 	}
 	sent := 0
 	for _, change := range changes {
--- a/internal/controller/whole_table.go
+++ b/internal/controller/whole_table.go
@@ -13,40 +13,38 @@
 	"github.com/thorntiller/thorntiller/internal/wire"
 )
 
-// sharedFor is how long a whole table is sent to routers that ask for one; the
-// history leads them on from its revision. Many ask at once after the loss of a
-// leader or a zone.
-const sharedFor = 10 * time.Second
+// fullTableTTL is how long an encoded full table is reused for routers that need one; they continue from its
+// revision by the history. Many routers ask at once after the loss of a leader or a zone.
+const fullTableTTL = 10 * time.Second
 
-// wholeTable is the newest whole table that was made for the streams. It is
-// safe for concurrent use.
-type wholeTable struct {
-	mutex   sync.Mutex
-	made    time.Duration
-	encoded *encodedTable
+// fullTableCache holds the latest full table that was encoded for the streams. It is safe for concurrent use.
+type fullTableCache struct {
+	mutex     sync.Mutex
+	encodedAt time.Duration
+	encoded   *encodedTable
 }
 
-// get returns a whole table that is not older than a revision. Callers that come
-// while it is being made wait for it.
-func (t *wholeTable) get(r *replica, atLeast state.Revision) *encodedTable {
+// get returns a full table that is not older than a revision. Concurrent callers wait while one of them
+// encodes it.
+func (t *fullTableCache) get(r *replica, atLeast state.Revision) *encodedTable {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	usable := t.encoded != nil && t.encoded.table.Revision >= atLeast && r.clock.Now()-t.made < sharedFor && r.history.Reaches(t.encoded.table.Revision)
+	usable := t.encoded != nil && t.encoded.table.Revision >= atLeast && r.clock.Now()-t.encodedAt < fullTableTTL && r.history.Reaches(t.encoded.table.Revision)
 	if !usable {
-		t.encoded, t.made = newEncodedTable(r), r.clock.Now()
+		t.encoded, t.encodedAt = newEncodedTable(r), r.clock.Now()
 	}
 	return t.encoded
 }
 
-// forget drops the table, as when this replica stops leading.
-func (t *wholeTable) forget() {
+// drop discards the table, for example when this replica stops leading.
+func (t *fullTableCache) drop() {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.encoded = nil
 }
 
-// encodedTable is the routing table at one revision. Each section is encoded
-// once, for all streams whose part of the table holds it.
+// encodedTable is the routing table at one revision. Each section is encoded once, for all streams whose part
+// of the table contains it.
 type encodedTable struct {
 	table    tablestream.Table
 	sections map[state.ServiceName]*encodedSection
@@ -54,7 +52,7 @@
 
 type encodedSection struct {
 	once sync.Once
-	// objects are forgotten once they are encoded.
+	// objects are released once they are encoded.
 	objects []state.Object
 	frames  []wire.Frame
 	err     error
@@ -62,20 +60,19 @@
 
 func newEncodedTable(r *replica) *encodedTable {
 	frozen, newest := r.frozenTable()
-	made := &encodedTable{table: newest, sections: make(map[state.ServiceName]*encodedSection)}
+	encoded := &encodedTable{table: newest, sections: make(map[state.ServiceName]*encodedSection)}
 	for _, object := range frozen.Objects() {
 		name := object.Section()
-		if made.sections[name] == nil {
-			made.sections[name] = &encodedSection{}
+		if encoded.sections[name] == nil {
+			encoded.sections[name] = &encodedSection{}
 		}
-		made.sections[name].objects = append(made.sections[name].objects, object)
+		encoded.sections[name].objects = append(encoded.sections[name].objects, object)
 	}
-	return made
+	return encoded
 }
 
-// send gives the frames of a part of the table to a function: an empty first
-// one, those of each section, in parts of a bounded size, and an empty last one
-// with the digest of the part.
+// send passes the frames of a part of the table to a function: an empty first frame, the frames of each
+// section in chunks of a bounded size, and an empty last frame with the digest of the part.
 func (t *encodedTable) send(subset table.Subset, size int, send func(wire.Frame) error) error {
 	if err := t.sendOne(message.TableSnapshot{First: true}, send); err != nil {
 		return err
@@ -111,7 +108,7 @@
 	return wire.Encode(&message.ControllerFrame{Snapshot: &part})
 }
 
-// section returns the frames of one section, encoded at the first call.
+// section returns the frames of one section, which is encoded at the first call.
 func (t *encodedTable) section(name state.ServiceName, size int) ([]wire.Frame, error) {
 	section := t.sections[name]
 	section.once.Do(func() {
