--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -14,7 +14,7 @@
 	"github.com/thorntiller/thorntiller/internal/forward"
 )
 
-// asFault returns the typed error in the chain of an error.
+// asFault returns the fault.Error in an error's chain; any other error becomes fault.Internal.
 func asFault(err error) *fault.Error {
 	if err == nil {
 		return nil
@@ -26,7 +26,7 @@
 	return fault.New(fault.Internal, err.Error())
 }
 
-// cleanAnswer takes out of an instance's answer what concerns its connection.
+// cleanAnswer removes the hop-by-hop headers from an instance's answer.
 func cleanAnswer(answer *fasthttp.Response) {
 	for _, name := range forward.HopHeaders() {
 		answer.Header.Del(name)
@@ -37,30 +37,31 @@
 	}
 }
 
-// When a caller is told to come back with a request that did not run.
+// Delays after which a caller is told to retry a request that did not run.
 const (
-	// retryAfter lets an instance end what it works on, or keys get their next holder.
+	// retryAfter lets an instance finish its current work, or keys get their next holder.
 	retryAfter = 250 * time.Millisecond
-	// retryElsewhere is for a gateway that has no directory yet while controllers answer:
-	// it gets one within a tenth or two, and other gateways have it.
+	// retryElsewhere is for a gateway that has no directory yet while controllers are reachable: it gets one
+	// within 100 to 200 ms, and other gateways have one.
 	retryElsewhere = 150 * time.Millisecond
-	// retryOutage is for one that has reached no controller: most likely all have lost
-	// power, and other gateways have no directory either. A controller takes some 150 ms
-	// to start, and the directory of 700 instances 200 ms on a link of 2 Mbit/s.
+	// retryOutage is for a gateway that has reached no controller: most likely all of them have lost power,
+	// and other gateways have no directory either. A controller takes about 150 ms to start, and the directory
+	// of 700 instances takes 200 ms on a 2 Mbit/s link.
 	retryOutage = 400 * time.Millisecond
-	// retryCongested lets a caller reach another gateway, whose link has room: soon, since
-	// its time runs from its first try.
+	// retryCongested lets a caller reach another gateway whose link has capacity. It is short, since the
+	// caller's deadline counts from its first attempt.
 	retryCongested = 30 * time.Millisecond
-	// shortestReturn and longestReturn bound when a caller is told to come back once there is
-	// room: an estimate of milliseconds is not worth another refusal, and one of many
-	// seconds is worth nothing.
+	// shortestReturn and longestReturn bound the delay that follows from the expected time until there is
+	// capacity: an estimate of a few milliseconds is not worth another rejection, and one of many seconds is
+	// not reliable.
 	shortestReturn = 50 * time.Millisecond
 	longestReturn  = 2 * time.Second
-	// longestReturnSpread bounds by how much later than at the end of a rest callers return.
+	// longestReturnSpread bounds the random delay that is added to the end of a rest.
 	longestReturnSpread = 250 * time.Millisecond
 )
 
-// retryAfterOf returns when a caller is told to come back after a failure; zero if it had better not.
+// retryAfterOf returns the delay after which a caller is told to retry after a failure; zero if it should not
+// retry.
 func (g *Gateway) retryAfterOf(kind fault.Kind) time.Duration {
 	switch {
 	case kind == fault.RequestQuarantined:
@@ -76,8 +77,8 @@
 	}
 }
 
-// statusOf returns the status of a refusal, and whether it proves that the request did not
-// run: a caller may take 429 and 503 for that proof.
+// statusOf returns the status of a refusal, and whether it proves that the request did not run: a caller may
+// take 429 and 503 as that proof.
 func statusOf(failure *fault.Error) (status int, notRun bool) {
 	row := fault.AnswerFor(failure.Kind)
 	if row.Outcome != fault.NotRun {
@@ -92,7 +93,7 @@
 	return fasthttp.StatusServiceUnavailable, true
 }
 
-// refuse answers in the gateway's own name.
+// refuse answers with an error of the gateway itself.
 func (g *Gateway) refuse(current *request, failure *fault.Error) {
 	outbound := current.answer
 	outbound.Reset()
@@ -101,12 +102,12 @@
 	case fault.QuotaExceeded, fault.ServerLimited:
 		wait = current.retryIn
 	case fault.ServerResting:
-		// Spread, so that not all who were rejected return at the same moment.
+		// Spread, so that the rejected callers do not all retry at the same moment.
 		wait = current.retryIn + time.Duration(rand.Float64()*float64(longestReturnSpread))
 	default:
 	}
 	if current.rejectedWithRoom {
-		// The next try may succeed at once, and the caller's time runs from its first one.
+		// The next attempt may succeed at once, and the caller's deadline counts from its first one.
 		wait = shortestReturn
 	}
 	if current.noRoom {
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -13,8 +13,8 @@
 	"github.com/thorntiller/thorntiller/internal/retry"
 )
 
-// execute sends the request to instances until one answers or nothing more can be
-// done. A nil error means that the answer holds an instance's whole answer.
+// execute sends the request to instances until one answers or no further attempt is allowed. A nil error means
+// that current.answer holds the complete answer of an instance.
 func (g *Gateway) execute(current *request) error {
 	// unknown is the failure of an attempt after which the request may have run.
 	var unknown *fault.Error
@@ -38,8 +38,8 @@
 	}
 }
 
-// truthful returns the failure that tells what is known of a request after all of its
-// attempts: that the last one did not run says nothing of an earlier one that may have.
+// truthful returns the failure that holds for all attempts of a request: that the last attempt did not run
+// proves nothing about an earlier one that may have.
 func truthful(unknown, last *fault.Error) *fault.Error {
 	if unknown != nil && fault.AnswerFor(last.Kind).Outcome == fault.NotRun {
 		return unknown
@@ -47,8 +47,8 @@
 	return last
 }
 
-// mayResend reports whether the request is to be sent once more after a failure,
-// and takes the resend out of the budget.
+// mayResend reports whether the request is to be sent again after a failure, and takes the resend from the
+// budget.
 func (g *Gateway) mayResend(current *request, failure *fault.Error) bool {
 	if current.interrupt.Fired() || len(current.attempts) >= current.route.MaxAttempts {
 		return false
@@ -57,29 +57,29 @@
 		return false
 	}
 	if fault.AnswerFor(failure.Kind).Outcome == fault.Unknown && current.suspicion.Suspected() {
-		// It may have taken down one instance already, and the next attempt another one.
+		// The request may already have crashed one instance, and would crash another one.
 		return false
 	}
 	if g.linkFull(current) {
-		// The attempt may have failed for that alone, and the next one would add to it.
+		// The link may be the only cause of the failure, and a further attempt would add to its load.
 		return false
 	}
 	if failure.Kind == fault.ServerResting && current.keyed {
 		return false
 	}
 	if failure.Kind == fault.Shedding && current.keyed && !current.rejectedWithRoom {
-		// Only the holder may run it, and the holder is full.
+		// Only the holder may run the request, and the holder is at capacity.
 		return false
 	}
 	if failure.Kind == fault.ConnectFailed || current.withdrawn {
-		// Nothing arrived anywhere: the budget counts arrivals.
+		// Nothing reached an instance, and the budget counts arrivals.
 		current.attempts = current.attempts[:len(current.attempts)-1]
 		return current.left() > minimumLeft
 	}
 	return current.left() > minimumLeft && g.budget(current.service).TakeResend()
 }
 
-// hasRoom reports whether the instance that rejected a request should have had room for it.
+// hasRoom reports whether the instance that rejected the request should have had capacity for it.
 func (g *Gateway) hasRoom(current *request) bool {
 	table := g.subscription.current()
 	service, found := table.Service(current.service)
@@ -90,11 +90,10 @@
 	return found && g.balancer.HasRoom(g.clock.Now(), instance, balance.Fleet{Senders: table.Gateways, Slots: service.Slots()})
 }
 
-// minimumLeft is the time below which a request is not sent any more.
+// minimumLeft is the remaining time below which a request is no longer sent.
 const minimumLeft = 20 * time.Millisecond
 
-// attempt sends the request to one instance, for which the balancer has counted it
-// in.
+// attempt sends the request to one instance, at which the balancer has counted it as in flight.
 func (g *Gateway) attempt(current *request, instance directory.Instance) *fault.Error {
 	current.attempts = append(current.attempts, instance.ID)
 	current.answer.Reset()
@@ -103,7 +102,7 @@
 	defer fasthttp.ReleaseRequest(outgoing)
 	current.fill(outgoing, g.dialect, instance)
 	turn := g.pacer.turnOf(current, len(current.inbound.Body()))
-	began, sentAt := time.Now(), g.clock.Now() // a suspension is no time of the instance's
+	began, sentAt := time.Now(), g.clock.Now() // time.Now does not count a suspension as time of the instance
 	failure := g.upstreams.client(instance).Do(&forward.Attempt{
 		ID: current.id, Request: outgoing, Response: current.answer, Timeout: current.left(), Interrupt: current.interrupt,
 		Check: func() *fault.Error { return g.maySendNow(current, instance) },
@@ -137,7 +136,7 @@
 	return failure
 }
 
-// note keeps what became of a sending.
+// note records the result of an attempt.
 func (r *request) note(instance directory.InstanceID, began, took time.Duration, failure *fault.Error) {
 	outcome := attemptOutcome{Instance: instance, AfterMs: (began - r.arrived).Milliseconds(), TookMs: took.Milliseconds()}
 	if failure != nil {
@@ -146,8 +145,8 @@
 	r.outcomes = append(r.outcomes, outcome)
 }
 
-// refusalOf returns the proof in an answer that the instance did not run the
-// request, as a failure; nil if there is none.
+// refusalOf returns a failure if the answer proves that the instance did not run the request, and nil
+// otherwise.
 func (g *Gateway) refusalOf(answer *fasthttp.Response) *fault.Error {
 	switch {
 	case answer.StatusCode() == fasthttp.StatusMisdirectedRequest:
@@ -159,7 +158,7 @@
 	}
 }
 
-// ended tells the balancer what became of an attempt.
+// ended records the result of an attempt with the balancer and everything else that tracks instances.
 func (g *Gateway) ended(current *request, instance directory.Instance, took time.Duration, failure *fault.Error) {
 	outcome := balance.Outcome{
 		Now: g.clock.Now(), Service: current.service, Instance: instance.ID, Took: took, Answered: failure == nil,
@@ -169,7 +168,7 @@
 		g.rejections.note(instance.ID, current.rangeFirst, current.layoutRevision)
 	}
 	if failure == nil && current.answer.StatusCode() < fasthttp.StatusInternalServerError {
-		// An instance that fails at once is not a fast one.
+		// An instance that fails at once must not count as a fast one.
 		limit, _ := g.signals.limit(outcome.Now, instance.ID)
 		g.demand.answered(current.service, instance.ID, took, limit)
 	}
@@ -180,7 +179,7 @@
 	if failure != nil && !current.interrupt.Fired() {
 		switch failure.Kind {
 		case fault.ConnectFailed:
-			// Behind a full link of this machine a connection says nothing of the instance.
+			// While this machine's own link is full, a failed connection proves nothing about the instance.
 			outcome.Unreachable = !g.linkFull(current)
 			outcome.Failed = outcome.Unreachable
 		case fault.ConnectionLost, fault.AnswerTruncated, fault.AnswerMismatched, fault.DeadlineExceeded:
--- a/internal/gateway/backpressure.go
+++ b/internal/gateway/backpressure.go
@@ -16,15 +16,14 @@
 	"github.com/thorntiller/thorntiller/internal/telemetry"
 )
 
-// instanceSignals keeps what instances tell in their answers of the requests that they take.
-// It is safe for concurrent use.
+// instanceSignals tracks the load signals in the answers of instances. It is safe for concurrent use.
 type instanceSignals struct {
 	mutex   sync.Mutex
 	tracker *backpressure.Tracker
-	// signalling is the number of instances that told anything: mostly none, and choices among
-	// hundreds of instances need not ask for each.
+	// signalling is the number of instances that sent a signal. It is mostly zero, and choices among hundreds
+	// of instances then take no lock for each.
 	signalling atomic.Int64
-	// reported are the instances of which a header that cannot be read was logged.
+	// reported has the instances for which an unreadable header was already logged.
 	reported map[directory.InstanceID]bool
 }
 
@@ -32,7 +31,7 @@
 	return &instanceSignals{tracker: backpressure.NewTracker(), reported: make(map[directory.InstanceID]bool)}
 }
 
-// forget drops the instances that are not known.
+// forget drops the instances that are no longer known.
 func (s *instanceSignals) forget(known func(directory.InstanceID) bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -45,8 +44,8 @@
 	}
 }
 
-// note takes the signal of an answer, and reports whether a header of the instance is
-// unreadable for the first time.
+// note records the signal in an answer, and reports whether this is the first unreadable header of the
+// instance.
 func (s *instanceSignals) note(now, sentAt time.Duration, id directory.InstanceID, signal backpressure.Signal, unreadable bool) (backpressure.Change, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -59,8 +58,8 @@
 	return change, first
 }
 
-// limit returns the limit of an instance in requests a second, zero for none, and how long ago an
-// answer repeated it.
+// limit returns the rate limit of an instance in requests per second, zero for none, and how long ago an
+// answer last repeated it.
 func (s *instanceSignals) limit(now time.Duration, id directory.InstanceID) (limit float64, age time.Duration) {
 	if s.signalling.Load() == 0 {
 		return 0, 0
@@ -70,8 +69,9 @@
 	return s.tracker.Limit(now, id)
 }
 
-// splitByLimit tells the instances that named a limit from the others. One that has not repeated
-// it for long counts as unlimited, so that a request finds out whether the limit still holds.
+// splitByLimit separates the instances that advertise a rate limit from the others. One that has not repeated
+// its limit for limitCheckInterval counts as unlimited, so that a request finds out whether the limit still
+// holds.
 func (s *instanceSignals) splitByLimit(now time.Duration, instances []directory.Instance) (unlimited, limited []directory.Instance) {
 	if s.signalling.Load() == 0 {
 		return instances, nil
@@ -88,11 +88,11 @@
 	return unlimited, limited
 }
 
-// limitCheckInterval is how long a gateway spares an instance without keys that named a limit
-// before it asks whether that still holds.
+// limitCheckInterval is how long a gateway avoids an instance without keys that advertises a rate limit before
+// it checks whether the limit still holds.
 const limitCheckInterval = 5 * time.Second
 
-// rest returns for how long no request may be sent to an instance; zero if one may.
+// rest returns how long no request may be sent to an instance; zero if one may be sent now.
 func (s *instanceSignals) rest(now time.Duration, id directory.InstanceID) time.Duration {
 	if s.signalling.Load() == 0 {
 		return 0
@@ -102,7 +102,7 @@
 	return s.tracker.Rest(now, id)
 }
 
-// begin is rest for a request that is sent at once if it may.
+// begin is like rest, for a request that is sent at once if it may be.
 func (s *instanceSignals) begin(now time.Duration, id directory.InstanceID) time.Duration {
 	if s.signalling.Load() == 0 {
 		return 0
@@ -112,7 +112,7 @@
 	return s.tracker.Begin(now, id)
 }
 
-// leaving returns for how long an instance has said that it leaves; false if it has not.
+// leaving returns how long ago an instance first signalled that it is leaving; false if it has not.
 func (s *instanceSignals) leaving(now time.Duration, id directory.InstanceID) (time.Duration, bool) {
 	if s.signalling.Load() == 0 {
 		return 0, false
@@ -122,8 +122,8 @@
 	return s.tracker.Leaving(now, id)
 }
 
-// heldBack returns why a request may not go to the holder of its key, by what that told; nil if it
-// may.
+// heldBack returns why a request may not be sent to the holder of its key because of that instance's signals;
+// nil if it may.
 func (g *Gateway) heldBack(current *request, holder directory.Instance) *fault.Error {
 	now := g.clock.Now()
 	if wait := g.signals.rest(now, holder.ID); wait > 0 {
@@ -132,7 +132,8 @@
 	return g.departed(holder)
 }
 
-// departed returns the failure for an instance that has said for too long that it leaves; nil for none.
+// departed returns the failure for an instance that signalled longer than DrainTime ago that it is leaving;
+// nil for none.
 func (g *Gateway) departed(instance directory.Instance) *fault.Error {
 	if since, leaves := g.signals.leaving(g.clock.Now(), instance.ID); leaves && since >= g.settings.DrainTime {
 		return fault.Newf(fault.NoOwner, "instance %s leaves, as it said first %s ago", instance.ID, since.Round(time.Millisecond))
@@ -140,8 +141,8 @@
 	return nil
 }
 
-// maySend is the last check before a request is sent: what an instance told may have come while
-// the request waited for its turn. A nil error means that it is sent at once.
+// maySend checks an instance just before the request is sent, since its signals may have arrived while the
+// request waited. A nil error means that the request is sent at once.
 func (g *Gateway) maySend(current *request, instance directory.Instance) *fault.Error {
 	if failure := g.takeInstanceToken(current, instance); failure != nil {
 		return failure
@@ -161,13 +162,14 @@
 	return failure
 }
 
-// resting is the failure of a request for an instance that rests, and notes how long that lasts.
+// resting returns the failure of a request for an instance at rest, and records how long the rest lasts.
 func resting(current *request, id directory.InstanceID, wait time.Duration) *fault.Error {
 	current.retryIn = wait
 	return fault.Newf(fault.ServerResting, "instance %s wants no requests of this gateway for %s", id, wait.Round(time.Millisecond))
 }
 
-// noteResting keeps the instance whose rest ends first, of those that would have served a request.
+// noteResting keeps the failure of the instance whose rest ends first, of those that could have served the
+// request.
 func (r *request) noteResting(id directory.InstanceID, wait time.Duration) {
 	known := r.resting != nil || r.limited != nil
 	if !known || wait < r.retryIn {
@@ -175,8 +177,8 @@
 	}
 }
 
-// takeInstanceToken takes a token for a request that is about to be sent to an instance that named
-// a limit. The limit is for all gateways together, so that the tokens come from the leader.
+// takeInstanceToken takes a token for a request that is about to be sent to an instance with a rate limit. The
+// limit is for all gateways together, so the leader grants the tokens.
 func (g *Gateway) takeInstanceToken(current *request, instance directory.Instance) *fault.Error {
 	limit, age := g.signals.limit(g.clock.Now(), instance.ID)
 	if limit == 0 {
@@ -203,7 +205,7 @@
 	return current.limited
 }
 
-// endInstanceToken gives the token of an attempt back if nothing reached the instance.
+// endInstanceToken refunds the token of an attempt if nothing reached the instance.
 func (g *Gateway) endInstanceToken(current *request, failure *fault.Error) {
 	if failure == nil {
 		current.tokenOf = ""
@@ -232,8 +234,8 @@
 	g.slots.Raise()
 }
 
-// noteSignal takes what a whole answer of an instance tells, and returns the rest that it asks
-// for; zero for none. An answer with status 421 may come from another instance at its address.
+// noteSignal records the signal in a complete answer of an instance, and returns the rest that it asks for;
+// zero for none. An answer with status 421 is ignored: it may come from another instance at that address.
 func (g *Gateway) noteSignal(current *request, instance directory.Instance, sentAt time.Duration) time.Duration {
 	answer := current.answer
 	if answer.StatusCode() == fasthttp.StatusMisdirectedRequest {
@@ -246,21 +248,21 @@
 			WithField(telemetry.FieldService, instance.Service).WithField(telemetry.FieldRequest, current.id)
 	}
 	if first {
-		line(telemetry.EventServerUnreadable).WithField(telemetry.FieldError, err.Error()).Warn("header of an instance unreadable")
+		line(telemetry.EventServerUnreadable).WithField(telemetry.FieldError, err.Error()).Warn("cannot parse a load signal header of an instance")
 	}
 	if change.Limit {
-		line(telemetry.EventServerLimit).WithField("limit", change.To).WithField("limit_before", change.From).Info("limit of an instance changed")
+		line(telemetry.EventServerLimit).WithField("limit", change.To).WithField("limit_before", change.From).Info("rate limit of an instance changed")
 	}
 	if change.Leaving {
-		line(telemetry.EventServerSaysLeaving).Info("instance says that it leaves")
+		line(telemetry.EventServerSaysLeaving).Info("instance signals that it is leaving")
 	}
 	if change.Rest {
-		line(telemetry.EventServerRest).WithField("rest_ms", signal.Rest.Milliseconds()).Info("instance asks for rest")
+		line(telemetry.EventServerRest).WithField("rest_ms", signal.Rest.Milliseconds()).Info("instance asks to get no requests for a while")
 	}
 	return signal.Rest
 }
 
-// readSignal reads the headers of an answer. The error tells of the first that cannot be read.
+// readSignal parses the signal headers of an answer. The error describes the first one that cannot be parsed.
 func (g *Gateway) readSignal(answer *fasthttp.Response) (backpressure.Signal, error) {
 	var signal backpressure.Signal
 	var failure error
@@ -283,7 +285,7 @@
 	return signal, failure
 }
 
-// leavingValue is the value of the header by which an instance says that it leaves.
+// leavingValue is the value of the header by which an instance signals that it is leaving.
 const leavingValue = "1"
 
 func asStrings(values [][]byte) []string {
--- a/internal/gateway/callers.go
+++ b/internal/gateway/callers.go
@@ -12,17 +12,16 @@
 	"github.com/thorntiller/thorntiller/internal/forward"
 )
 
-// callerInterval is the time between two looks whether callers are still there.
+// callerInterval is the interval at which the callers' connections are checked.
 const callerInterval = 100 * time.Millisecond
 
-// overdue is by how much the deadline of a request has passed when its attempt is given up here.
-// Timers give it up in time, but for one whose machine was suspended: they stand still then.
+// overdue is how long after its deadline the attempt of a request is aborted here. The timers of the attempt
+// do so in time, unless the machine was suspended, during which they stand still.
 const overdue = 100 * time.Millisecond
 
-// callers watches the connections of requests that wait for their answer, and gives
-// up the attempts of those whose caller has left or whose deadline has passed. It looks at each connection
-// without reading from it, so that a request which waits behind stays whole. It is
-// safe for concurrent use.
+// callers watches the connections of requests that wait for their answer, and aborts the attempts of those
+// whose caller has disconnected or whose deadline has passed. It peeks at each connection without reading, so
+// that a pipelined request stays complete. It is safe for concurrent use.
 type callers struct {
 	mutex   sync.Mutex
 	last    uint64
@@ -30,7 +29,7 @@
 }
 
 type watched struct {
-	// left returns the time until the request is given up.
+	// left returns the time until the deadline of the request.
 	left       func() time.Duration
 	connection syscall.RawConn
 	interrupt  *forward.Interrupt
@@ -38,7 +37,7 @@
 
 func newCallers() *callers { return &callers{watched: make(map[uint64]watched)} }
 
-// watch begins to watch a connection and returns how to end it.
+// watch starts watching a connection and returns a function that stops it.
 func (c *callers) watch(connection net.Conn, current *request) (forget func()) {
 	system, ok := connection.(syscall.Conn)
 	if !ok {
@@ -60,14 +59,14 @@
 	}
 }
 
-// run looks at the connections until the context ends.
+// run checks the connections until the context ends.
 func (c *callers) run(ctx context.Context) {
 	clock.Every(ctx, callerInterval, func() {
 		c.look(func(each watched) bool { return hasLeft(each.connection) })
 	})
 }
 
-// look gives up the attempts whose deadline has passed or whose caller has left.
+// look aborts the attempts whose deadline has passed or whose caller has disconnected.
 func (c *callers) look(left func(watched) bool) {
 	for _, each := range c.snapshot() {
 		if each.left() < -overdue || left(each) {
@@ -86,8 +85,8 @@
 	return all
 }
 
-// interrupted is the failure of an attempt that was given up: its caller left, or its deadline
-// passed while the machine was suspended, which the timers of the attempt do not count.
+// interrupted returns the failure of an aborted attempt: its caller disconnected, or its deadline passed while
+// the machine was suspended, which the timers of the attempt do not count.
 func (r *request) interrupted() *fault.Error {
 	if r.left() <= 0 {
 		return fault.New(fault.DeadlineExceeded, "the deadline passed before the instance's answer was whole")
@@ -95,8 +94,7 @@
 	return fault.New(fault.ConnectionLost, "the caller left")
 }
 
-// hasLeft reports whether the peer closed or reset a connection. Bytes that wait
-// say that it is there.
+// hasLeft reports whether the peer closed or reset a connection. Unread bytes prove that it is still there.
 func hasLeft(connection syscall.RawConn) bool {
 	left := false
 	err := connection.Control(func(descriptor uintptr) { left = peek(descriptor) == 0 })
@@ -106,8 +104,8 @@
 // nothingYet is what peek returns for an open connection without unread bytes.
 const nothingYet = -1
 
-// peek looks at a connection without reading from it. It returns 1 if bytes wait, 0 if the peer
-// closed or reset it, and nothingYet otherwise.
+// peek checks a connection without reading from it. It returns 1 if there are unread bytes, 0 if the peer
+// closed or reset the connection, and nothingYet otherwise.
 func peek(descriptor uintptr) int {
 	var buffer [1]byte
 	count, _, err := syscall.Recvfrom(int(descriptor), buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -11,8 +11,8 @@
 	"github.com/thorntiller/thorntiller/internal/routing"
 )
 
-// acquire waits until an instance may get the request. An error proves that the
-// request was not sent since the last attempt.
+// acquire waits until the request may be sent to an instance. An error proves that the request was not sent
+// since the last attempt.
 func (g *Gateway) acquire(current *request) (directory.Instance, error) {
 	for {
 		freed, updated := g.slots.Next(), g.subscription.updates.Next()
@@ -44,13 +44,12 @@
 	}
 }
 
-// lookInterval bounds the time between two looks for an instance.
+// lookInterval bounds the time between two attempts to choose an instance.
 const lookInterval = 50 * time.Millisecond
 
-// patience is until when, by the clock, a request waits for an instance, by why there is none. Keys
-// that nobody holds get a holder soon, so that waiting serves the caller better than
-// a refusal; but less than half of its time is spent so, since it can still ask
-// again with the rest.
+// patience returns the clock reading until which a request waits for an instance, depending on why there is
+// none. Keys without a holder get one soon, so that waiting serves the caller better than a rejection; but the
+// wait takes less than half of the caller's time, so that it can still retry with the rest.
 func (g *Gateway) patience(current *request, failure *fault.Error) time.Duration {
 	const heldShare = 0.4
 	if failure.Kind == fault.ConnectFailed || failure.Kind == fault.ServerLimited || current.noRoom {
@@ -72,8 +71,8 @@
 	return until
 }
 
-// choose returns an instance that may get the request now, counted in by the
-// balancer.
+// choose returns an instance to which the request may be sent now. The balancer has counted the request as in
+// flight there.
 func (g *Gateway) choose(current *request) (directory.Instance, *fault.Error) {
 	table := g.subscription.current()
 	service, found := table.Service(current.service)
@@ -100,20 +99,20 @@
 		return directory.Instance{}, fault.Newf(fault.QueueFull, "each instance of service %q has as many requests as it may", current.service)
 	}
 	if !g.unreachable.mayAsk(now, instance.ID) {
-		// Another request finds out whether it is back.
+		// Another request probes whether the instance is reachable again.
 		g.balancer.Release(instance.ID)
 		return directory.Instance{}, fault.Newf(fault.QueueFull, "no connection to instance %s could be made of late", instance.ID)
 	}
 	if !g.coldStarts.take(now, instance.ID) {
-		// Another request took the turn meanwhile; this one looks again.
+		// Another request took the slot meanwhile; the caller chooses again.
 		g.balancer.Release(instance.ID)
 		return directory.Instance{}, fault.Newf(fault.QueueFull, "instance %s is cold and gets no more requests now", instance.ID)
 	}
 	return instance, nil
 }
 
-// chooseAmong returns the instance that is to get a request, counted in by the balancer. One that
-// named a limit gets it only if no other one has room.
+// chooseAmong returns the instance for a request, which the balancer has counted as in flight there. An
+// instance that advertises a rate limit is chosen only if no other one has capacity.
 func (g *Gateway) chooseAmong(now time.Duration, current *request, candidates []directory.Instance) (directory.Instance, bool) {
 	unlimited, limited := g.signals.splitByLimit(now, candidates)
 	for _, instances := range [][]directory.Instance{unlimited, limited} {
@@ -131,8 +130,8 @@
 	return directory.Instance{}, false
 }
 
-// nobodyLeft is the failure of a request that no instance may get, by what those said that would
-// have served it.
+// nobodyLeft returns the failure of a request for which no candidate is left: that of an instance with a rate
+// limit or at rest that could have served it, if there was one.
 func (r *request) nobodyLeft() *fault.Error {
 	if r.limited != nil {
 		return r.limited
@@ -143,7 +142,7 @@
 	return fault.Newf(fault.NoOwner, "no instance of service %q is left to send to", r.service)
 }
 
-// candidates returns the instances that a request may be sent to.
+// candidates returns the instances to which the request may be sent.
 func (g *Gateway) candidates(now time.Duration, current *request, instances []*directory.Instance) []directory.Instance {
 	candidates := make([]directory.Instance, 0, len(instances))
 	var leaving []directory.Instance
@@ -180,7 +179,7 @@
 // inFlightLimit bounds the requests in flight from this gateway to an instance.
 func inFlightLimit(slots int) int { return max(slots, 1) }
 
-// keyedLimit bounds them for an instance that alone may run the request.
+// keyedLimit is the same bound for the holder of a key, which alone may run the request.
 func keyedLimit(slots int) int { return max(slots, 1) + 1 }
 
 // chooseOwner returns the instance that holds the request's key.
--- a/internal/gateway/clock_test.go
+++ b/internal/gateway/clock_test.go
@@ -7,13 +7,13 @@
 	"github.com/thorntiller/thorntiller/internal/clock"
 )
 
-// testClock is the clock of tests that play no suspension.
+// testClock is the clock of tests without a suspension.
 var testClock = clock.NewSystem()
 
-// manualClock shows what a test sets. It is safe for concurrent use.
+// manualClock returns the reading that a test sets. It is safe for concurrent use.
 type manualClock struct{ reading atomic.Int64 }
 
 func (c *manualClock) Now() time.Duration { return time.Duration(c.reading.Load()) }
 
-// suspend lets time pass in which the process does nothing.
+// suspend advances the clock without any other effect, as a suspension of the machine does.
 func (c *manualClock) suspend(duration time.Duration) { c.reading.Add(int64(duration)) }
--- a/internal/gateway/coldstart.go
+++ b/internal/gateway/coldstart.go
@@ -10,8 +10,7 @@
 	"github.com/thorntiller/thorntiller/internal/warmup"
 )
 
-// coldStarts limits the requests of this gateway to cold instances. It is safe for
-// concurrent use.
+// coldStarts limits the requests that this gateway sends to cold instances. It is safe for concurrent use.
 type coldStarts struct {
 	mutex   sync.Mutex
 	limiter *warmup.Limiter
@@ -21,7 +20,7 @@
 	return &coldStarts{limiter: warmup.NewLimiter(bounds)}
 }
 
-// note takes a new table.
+// note applies a new table.
 func (c *coldStarts) note(now time.Duration, table *routing.Table, known func(directory.InstanceID) bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -41,14 +40,14 @@
 	return c.limiter.Cold(now, id)
 }
 
-// allows reports whether an instance may get a request now.
+// allows reports whether a request may be sent to an instance now.
 func (c *coldStarts) allows(now time.Duration, id directory.InstanceID) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.limiter.Allows(now, id)
 }
 
-// take reports whether an instance may get a request now, and counts it.
+// take is like allows, and counts the request if it may be sent.
 func (c *coldStarts) take(now time.Duration, id directory.InstanceID) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/gateway/connectiontimes.go
+++ b/internal/gateway/connectiontimes.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	// idleSlack is added to the time for which the operator lets connections rest: a request that is
-	// sent at its end must not cross the close of its connection.
+	// idleSlack is added to the idle timeout that the operator sets, so that a request sent just before it
+	// does not cross the close of its connection.
 	idleSlack = time.Second
-	// toldIdleMargin is taken off the time that callers are told where the operator says none.
+	// toldIdleMargin is subtracted from the default idle timeout in the Keep-Alive header.
 	toldIdleMargin = 5 * time.Second
 )
 
-// connectionTimes bound the waits for a caller.
+// connectionTimes are the timeouts of the waits for a caller.
 type connectionTimes struct {
-	// header is how long the header of a request may take, and idle how long a connection may rest
+	// header is the timeout for the header of a request, and idle the time that a connection may be idle
 	// between two requests.
 	header, idle time.Duration
 }
 
-// timesOf returns those of the operator's limits.
+// timesOf returns the timeouts according to the operator's limits.
 func timesOf(limits directory.Limits) connectionTimes {
 	times := connectionTimes{header: defaultHeaderTimeout, idle: defaultIdleTimeout}
 	if limits.HeaderTimeoutMs > 0 {
@@ -45,8 +45,8 @@
 	return timesOf(directory.Limits{})
 }
 
-// tellIdleTime tells a caller how long its connection may rest, where the operator does not: callers
-// know the operator's limits.
+// tellIdleTime tells the caller the idle timeout of its connection, unless the operator sets one, which
+// callers know.
 func (g *Gateway) tellIdleTime(context *fasthttp.RequestCtx) {
 	if table := g.subscription.current(); table != nil && table.Limits.IdleTimeoutMs > 0 {
 		return
@@ -55,16 +55,16 @@
 	context.Response.Header.Set(fasthttp.HeaderKeepAlive, "timeout="+strconv.Itoa(seconds))
 }
 
-// waitBound replaces the bound of the next wait for a caller, which the server sets from settings that
+// waitBound overrides the deadline of the next wait for a caller, which the server derives from settings that
 // cannot change.
 type waitBound struct {
-	// next is that bound; zero leaves the server's. Served is true once a request was answered.
+	// next is the timeout of that wait; zero keeps the server's. served is true once a request was answered.
 	next   atomic.Int64
 	served bool
 }
 
-// enter takes a change of the connection's state. A new connection waits for a header, and so does one
-// on which the first byte of a further request came; one that was served rests.
+// enter applies a state change of the connection. A new connection waits for a header, and so does one that
+// received the first byte of a further request; after a request the connection is idle.
 func (b *waitBound) enter(change fasthttp.ConnState, times connectionTimes) {
 	switch {
 	case change == fasthttp.StateNew, change == fasthttp.StateActive && b.served:
@@ -84,7 +84,7 @@
 	return c.TCPConn.SetReadDeadline(deadline)
 }
 
-// boundWait bounds the next wait for a caller by the operator's limits.
+// boundWait limits the next wait for a caller by the operator's limits.
 func (g *Gateway) boundWait(connection net.Conn, change fasthttp.ConnState) {
 	if metered, ok := connection.(*meteredConnection); ok {
 		metered.wait.enter(change, g.connectionTimes())
--- a/internal/gateway/connectiontimes_test.go
+++ b/internal/gateway/connectiontimes_test.go
@@ -15,8 +15,8 @@
 	"github.com/thorntiller/thorntiller/internal/telemetry"
 )
 
-// TestTimesOfLimits: connections rest for as long as the operator says, also for longer than without
-// a limit, so that no request crosses their end.
+// TestTimesOfLimits checks that connections are idle for as long as the operator sets, also if that is longer
+// than the default, plus idleSlack, so that no request crosses the close.
 func TestTimesOfLimits(t *testing.T) {
 	for limits, want := range map[directory.Limits]connectionTimes{
 		{}: {defaultHeaderTimeout, defaultIdleTimeout},
@@ -53,8 +53,8 @@
 	return listener.Addr().String()
 }
 
-// exchangeUntilClosed sends bytes and returns all that came until the gateway closed the connection,
-// and how long that took.
+// exchangeUntilClosed sends bytes, and returns all bytes received until the gateway closed the connection and
+// how long that took.
 func exchangeUntilClosed(t *testing.T, address, sent string) (string, time.Duration) {
 	t.Helper()
 	connection, err := net.Dial("tcp", address)
@@ -78,21 +78,22 @@
 
 const wholeRequest = "GET / HTTP/1.1\r\nHost: a.example\r\n\r\n"
 
-// TestConnectionsRestAsTheOperatorSays: they were closed after 30 s, whatever the operator said, and
-// callers that took them up later lost a request.
+// TestConnectionsRestAsTheOperatorSays guards against connections that are closed after 30 s whatever the
+// operator sets: callers that reuse them later lose a request.
 func TestConnectionsRestAsTheOperatorSays(t *testing.T) {
 	const idle = 400 * time.Millisecond
 	address := serveLimits(t, directory.Limits{IdleTimeoutMs: float64(idle.Milliseconds()), HeaderTimeoutMs: 200})
 	answer, took := exchangeUntilClosed(t, address, wholeRequest)
 	if least, most := idle+idleSlack, idle+idleSlack+2*time.Second; took < least || took > most {
-		t.Errorf("the connection rested for %s, want %s to %s", took, least, most)
+		t.Errorf("the connection was idle for %s, want %s to %s", took, least, most)
 	}
 	if !strings.HasPrefix(answer, "HTTP/1.1 404") || strings.Contains(answer, "Keep-Alive") {
 		t.Errorf("answer %q", answer)
 	}
 }
 
-// TestHeadersMayTakeAsLongAsTheOperatorSays: on the first request of a connection and on later ones.
+// TestHeadersMayTakeAsLongAsTheOperatorSays checks the header timeout for the first request of a connection
+// and for later ones.
 func TestHeadersMayTakeAsLongAsTheOperatorSays(t *testing.T) {
 	const header = 300 * time.Millisecond
 	address := serveLimits(t, directory.Limits{IdleTimeoutMs: 10_000, HeaderTimeoutMs: float64(header.Milliseconds())})
@@ -104,7 +105,7 @@
 	}
 }
 
-// TestBodiesMayTakeLongerThanHeaders: the bound of a header does not hold for the body behind it.
+// TestBodiesMayTakeLongerThanHeaders checks that the header timeout does not apply to the body.
 func TestBodiesMayTakeLongerThanHeaders(t *testing.T) {
 	const header = 200 * time.Millisecond
 	address := serveLimits(t, directory.Limits{HeaderTimeoutMs: float64(header.Milliseconds())})
--- a/internal/gateway/demand.go
+++ b/internal/gateway/demand.go
@@ -19,34 +19,34 @@
 	"github.com/thorntiller/thorntiller/internal/wire"
 )
 
-// Reports of the demand for keys come the more seldom the more gateways there are, so that the
-// leader takes no more than some 1,400 a second up to 1,200 gateways.
+// The more gateways there are, the less often each reports the demand for keys, so that the leader receives at
+// most about 1,400 reports per second with up to 1,200 gateways.
 const (
 	shortestReport  = 200 * time.Millisecond
 	longestReport   = 850 * time.Millisecond
 	reportOfGateway = 700 * time.Microsecond
-	// aliveMargin is by how much longer a gateway may be silent that has nothing to tell.
+	// aliveMargin is how much longer than the report interval a gateway with nothing to report may be silent.
 	aliveMargin = 150 * time.Millisecond
 )
 
-// reportInterval returns the time between two reports of each of a number of gateways.
+// reportInterval returns the time between two reports of each gateway, by the number of gateways.
 func reportInterval(gateways int) time.Duration {
 	return min(max(shortestReport, time.Duration(gateways)*reportOfGateway), longestReport)
 }
 
 const (
-	// silentDemand is how long the leader may say nothing on a connection for reports: it only
-	// answers asks for tokens.
+	// silentDemand is the idle timeout of the connection for reports: the leader sends nothing but answers to
+	// asks for tokens.
 	silentDemand = time.Hour
-	// unansweredAsk is how long the leader may leave an ask without an answer before the
-	// connection is given up: it may have gone silent for good.
+	// unansweredAsk is how long the leader may leave an ask unanswered before the connection is closed: it may
+	// have failed silently.
 	unansweredAsk = time.Second
-	// demandReadBuffer suffices for the tokens of some hundred tenants, in bytes.
+	// demandReadBuffer suffices for the tokens of several hundred tenants, in bytes.
 	demandReadBuffer = 4 << 10
 )
 
-// demandCounter counts requests by their keys, for the leading controller, which
-// places keys by them. It is safe for concurrent use.
+// demandCounter counts requests by key and reports them to the leading controller, which places keys
+// accordingly. It is safe for concurrent use.
 type demandCounter struct {
 	subscription *subscription
 	tenants      *tokens
@@ -57,7 +57,7 @@
 	options wire.Options
 	name    string
 	offer   heartbeat.GatewayOffer
-	// stopping is set once the gateway's stop began.
+	// stopping is set once the gateway begins to stop.
 	stopping atomic.Bool
 	mutex    sync.Mutex
 	services map[string]*serviceCounts
@@ -97,8 +97,8 @@
 	d.of(service).keys[uint16(key)]++
 }
 
-// answered counts an answer and how long the instance took for it. Limit is what the instance names
-// that it takes, in requests a second; zero for none.
+// answered counts an answer and its service time. Limit is the rate limit that the instance advertises, in
+// requests per second; zero for none.
 func (d *demandCounter) answered(service string, instance directory.InstanceID, took time.Duration, limit float64) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -113,7 +113,7 @@
 	report.Limit = limit
 }
 
-// take returns what was counted since the last call.
+// take returns the counts since the last call and resets them.
 func (d *demandCounter) take() message.DemandReport {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -133,8 +133,8 @@
 	return taken
 }
 
-// run reports until the context ends. Reports that find no leader are lost: the
-// next ones tell as much.
+// run reports until the context ends. Reports that reach no leader are lost: later ones have the same
+// information.
 func (d *demandCounter) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if leader := d.subscription.leader.Load(); leader != nil {
@@ -153,7 +153,7 @@
 	return reportInterval(table.Gateways)
 }
 
-// reportTo reports to one controller until it does not lead any more.
+// reportTo reports to one controller until it is no longer the leader.
 func (d *demandCounter) reportTo(ctx context.Context, leader string) {
 	connection, err := wire.Dial(ctx, leader, d.options)
 	if err != nil {
@@ -185,20 +185,20 @@
 	}
 }
 
-// unanswered returns for how long the leader has left an ask without an answer.
+// unanswered returns how long the oldest unanswered ask has been waiting for the leader.
 func (d *demandCounter) unanswered() time.Duration {
 	return max(d.tenants.unanswered(), d.instances.unanswered())
 }
 
-// reportsSent is what was told on a connection.
+// reportsSent is what was already sent on a connection.
 type reportsSent struct {
 	offer *heartbeat.GatewayOffer
-	// countedAt is when counts were taken last, and at when anything was sent last.
+	// countedAt is when counts were last taken, and at when anything was last sent.
 	countedAt, at time.Time
 }
 
-// nextReport returns what is to be reported now, nil for nothing: asks for tokens at any time,
-// counts after each interval.
+// nextReport returns the report to send now, or nil for none: asks for tokens at any time, counts once per
+// interval.
 func (d *demandCounter) nextReport(sent *reportsSent) *message.DemandReport {
 	var report message.DemandReport
 	now := time.Now()
@@ -220,7 +220,7 @@
 	return &report
 }
 
-// pause waits for the next interval, or until a token is asked for at once.
+// pause waits for the next interval, or until a token is to be asked for at once.
 func (d *demandCounter) pause(ctx context.Context, sent reportsSent) {
 	timer := time.NewTimer(d.interval() - time.Since(sent.countedAt))
 	defer timer.Stop()
@@ -231,7 +231,7 @@
 	}
 }
 
-// receiveGrants takes the leader's answers until the connection ends.
+// receiveGrants applies the leader's answers until the connection ends.
 func (d *demandCounter) receiveGrants(connection *wire.Conn) {
 	for {
 		var answer message.QuotaAnswer
@@ -248,7 +248,7 @@
 	}
 }
 
-// currentOffer is what the gateway offers now: no places once it stops.
+// currentOffer returns what the gateway offers now: it keeps no places once it is stopping.
 func (d *demandCounter) currentOffer() heartbeat.GatewayOffer {
 	offer := d.offer
 	if d.stopping.Load() {
@@ -257,7 +257,7 @@
 	return offer
 }
 
-// offerOf returns what a gateway offers to others.
+// offerOf returns what a gateway offers to other gateways.
 func offerOf(settings config.Gateway) heartbeat.GatewayOffer {
 	offer := heartbeat.GatewayOffer{Zone: settings.Zone, Megabits: settings.LinkMegabits}
 	if takesPart(settings) {
--- a/internal/gateway/dialect.go
+++ b/internal/gateway/dialect.go
@@ -5,11 +5,10 @@
 	"github.com/thorntiller/thorntiller/internal/callerapi"
 )
 
-// Dialect names the headers by which callers, gateways and instances talk. A
-// dialect only names things: what they mean stays the same.
+// Dialect names the headers between callers, gateways and instances. It changes only the names; their meaning
+// is the same in each dialect.
 type Dialect struct {
-	// RequestID carries the caller's identifier of the attempt; the instance echoes
-	// it.
+	// RequestID carries the caller's identifier of the attempt; the instance returns it in its answer.
 	RequestID string
 	// Deadline carries how long the caller waits, in milliseconds.
 	Deadline string
@@ -19,19 +18,19 @@
 	NotExecuted string
 	// Key carries the key of a request to a keyed service.
 	Key string
-	// Tenant names the tenant whose API key the caller showed, to the instance.
+	// Tenant tells the instance the tenant whose API key the caller presented.
 	Tenant string
-	// Limit on an answer names the requests a second that the instance takes from all gateways
+	// Limit on an answer carries the number of requests per second that the instance accepts from all gateways
 	// together, as a decimal number.
 	Limit string
-	// Leaving on an answer says that the instance leaves.
+	// Leaving on an answer signals that the instance is leaving.
 	Leaving string
 }
 
-// DefaultDialect is the name of the product's own dialect.
+// DefaultDialect is the name of the built-in dialect.
 const DefaultDialect = "thorntiller"
 
-// ownDialect has the names of the product's own interfaces.
+// ownDialect returns the built-in dialect.
 func ownDialect() Dialect {
 	return Dialect{
 		RequestID:      callerapi.HeaderRequestID,
--- a/internal/gateway/drain.go
+++ b/internal/gateway/drain.go
@@ -10,7 +10,7 @@
 	"github.com/thorntiller/thorntiller/internal/routing"
 )
 
-// drains remembers since when each instance drains. It is safe for concurrent use.
+// drains records since when each instance has been draining. It is safe for concurrent use.
 type drains struct {
 	clock   clock.Clock
 	allowed time.Duration
@@ -23,7 +23,7 @@
 	return &drains{clock: system, allowed: allowed, since: make(map[directory.InstanceID]time.Duration)}
 }
 
-// note takes a new table.
+// note applies a new table.
 func (d *drains) note(table *routing.Table) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -41,8 +41,7 @@
 	}
 }
 
-// mayServe reports whether a draining instance still gets requests for keys that
-// it holds.
+// mayServe reports whether a draining instance still gets requests for keys that it holds.
 func (d *drains) mayServe(instance directory.Instance) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/gateway/evacuation.go
+++ b/internal/gateway/evacuation.go
@@ -12,29 +12,28 @@
 )
 
 const (
-	// evacuationFade is the time over which the instances of an evacuated zone are left
-	// out one by one, so that the other zones do not get all of its requests at once: as
-	// long as keys take to move out.
+	// evacuationFade is the time over which the instances of an evacuated zone stop getting requests one by
+	// one, so that the other zones do not get all of its requests at once. It matches the time in which keys
+	// move out.
 	evacuationFade = 1500 * time.Millisecond
-	// evacuationMargin is kept of the time allowed: the news needs some of it to arrive,
-	// and a request some to reach the instance.
+	// evacuationMargin is reserved from the time limit: the change takes part of it to arrive at this gateway,
+	// and a request part of it to reach the instance.
 	evacuationMargin = 1200 * time.Millisecond
 )
 
-// evacuatedBefore is since when zones count as evacuated that are so in the first table.
+// evacuatedBefore is the start time of zones that are already evacuated in the first table.
 const evacuatedBefore = time.Duration(math.MinInt64 / 2)
 
-// evacuations remembers since when this gateway has known each zone as evacuated. It is
-// safe for concurrent use.
+// evacuations records since when this gateway has known each zone as evacuated. It is safe for concurrent use.
 type evacuations struct {
 	clock clock.Clock
-	// limit is how long after the order an instance may get its last request.
+	// limit is how long after the order to evacuate an instance may get its last request.
 	limit time.Duration
 	mutex sync.Mutex
-	// since has the zones that are evacuated, with readings of the clock.
+	// since has the evacuated zones, with readings of the clock.
 	since map[string]time.Duration
-	// noted is true once a table was taken. What is evacuated in the first one may have
-	// been for long.
+	// noted is true once a table was applied. Zones that are evacuated in the first table may have been so for
+	// a long time.
 	noted bool
 }
 
@@ -42,7 +41,7 @@
 	return &evacuations{clock: system, limit: limit, since: make(map[string]time.Duration)}
 }
 
-// note takes a new table.
+// note applies a new table.
 func (e *evacuations) note(table *routing.Table) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -62,7 +61,7 @@
 	e.noted = true
 }
 
-// excludes reports whether an instance gets no more requests that others can serve as well.
+// excludes reports whether an instance gets no more requests that other instances can serve as well.
 func (e *evacuations) excludes(instance directory.Instance) bool {
 	share := instanceShare(instance.ID)
 	return e.evacuatedFor(instance.Zone, time.Duration(share*float64(min(evacuationFade, e.lastRequestAfter()))))
@@ -73,10 +72,10 @@
 	return e.evacuatedFor(instance.Zone, e.lastRequestAfter())
 }
 
-// lastRequestAfter is how long after the news the last request may be sent.
+// lastRequestAfter returns how long after this gateway learned of the evacuation the last request may be sent.
 func (e *evacuations) lastRequestAfter() time.Duration { return max(0, e.limit-evacuationMargin) }
 
-// evacuatedFor reports whether a zone has been known as evacuated for at least a time.
+// evacuatedFor reports whether a zone has been known as evacuated for at least the given time.
 func (e *evacuations) evacuatedFor(zone string, atLeast time.Duration) bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -84,7 +83,7 @@
 	return found && e.clock.Now()-since >= atLeast
 }
 
-// instanceShare spreads instances evenly over [0, 1), alike at each gateway.
+// instanceShare spreads the instances evenly over [0, 1), in the same way at each gateway.
 func instanceShare(id directory.InstanceID) float64 {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(id)) // never fails
--- a/internal/gateway/evacuation_test.go
+++ b/internal/gateway/evacuation_test.go
@@ -9,15 +9,16 @@
 	"github.com/thorntiller/thorntiller/internal/routing"
 )
 
-// TestEvacuatedZoneIsLeft: its instances one by one, holders of keys last, all of them
-// before the limit; and at once by a gateway that finds the zone evacuated at its start.
+// TestEvacuatedZoneIsLeft checks that the instances of an evacuated zone stop getting requests one by one,
+// holders of keys last, and all of them before the limit; and at once at a gateway that finds the zone
+// evacuated when it starts.
 func TestEvacuatedZoneIsLeft(t *testing.T) {
 	e := newEvacuations(testClock, 5*time.Second)
 	e.note(&routing.Table{})
 	e.note(&routing.Table{Evacuated: []string{"west"}})
 	holder := directory.Instance{ID: "h", Zone: "west"}
 	if e.excludesHolder(holder) || e.excludes(directory.Instance{ID: "h", Zone: "east"}) {
-		t.Error("holders serve until their keys have moved, and other zones go on")
+		t.Error("holders must get requests until their keys have moved, and other zones must not be excluded")
 	}
 	e.since["west"] = testClock.Now() - evacuationFade/2
 	left := 0
@@ -28,19 +29,19 @@
 		}
 	}
 	if left < instances/4 || left > 3*instances/4 {
-		t.Errorf("%d of %d instances are left after half of the time", left, instances)
+		t.Errorf("%d of %d instances are excluded after half of the time", left, instances)
 	}
 	e.since["west"] = testClock.Now() - e.lastRequestAfter()
 	if !e.excludes(holder) || !e.excludesHolder(holder) {
-		t.Error("nothing is sent to the zone after the limit")
+		t.Error("all instances of the zone must be excluded after the limit")
 	}
 	e.note(&routing.Table{})
 	if e.excludes(holder) || e.excludesHolder(holder) {
-		t.Error("a restored zone gets requests")
+		t.Error("a restored zone must get requests")
 	}
 	started := newEvacuations(testClock, 5*time.Second)
 	started.note(&routing.Table{Evacuated: []string{"west"}})
 	if !started.excludes(holder) || !started.excludesHolder(holder) {
-		t.Error("a gateway that starts sends nothing to an evacuated zone")
+		t.Error("a gateway that starts must send nothing to an evacuated zone")
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -53,13 +53,13 @@
 	pacer       *pacer
 	callers     *callers
 	demand      *demandCounter
-	// tenantTokens and instanceTokens bound what all gateways together send for a tenant, and to
-	// an instance that named a limit.
+	// tenantTokens and instanceTokens bound the rate at which all gateways together send requests for a
+	// tenant, and to an instance that advertises a rate limit.
 	tenantTokens   *tokens
 	instanceTokens *tokens
 	registry       *telemetry.Metrics
 	metrics        *metrics
-	// slots tells requests that wait of attempts that ended.
+	// slots wakes waiting requests when an attempt ends.
 	slots *broadcast.Broadcast
 
 	budgetLock sync.Mutex
@@ -69,19 +69,19 @@
 
 	// connections counts callers' open connections.
 	connections atomic.Int64
-	// accepted counts the connections that callers ever opened.
+	// accepted counts all connections that callers have opened.
 	accepted atomic.Int64
-	// resting are the callers' connections without a request.
+	// resting has the callers' connections without a request.
 	resting *restingConnections
 	// stopping is set once a stop began; each answer then closes its connection.
 	stopping atomic.Bool
-	// stopEnd is when a stop ends, set once callers have noticed the stop.
+	// stopEnd is the clock reading at which a stop ends, set once StopNotice has passed.
 	stopEnd atomic.Pointer[time.Duration]
 }
 
-// Options are parts that the caller of Run may give.
+// Options are optional parts that the caller of Run may set.
 type Options struct {
-	// Dialects are known by name, besides the product's own.
+	// Dialects are further dialects by name, besides the built-in one.
 	Dialects map[string]Dialect
 	// Reload reads the settings again; nil if they do not change.
 	Reload func() (config.Gateway, error)
@@ -153,7 +153,7 @@
 	return warmup.Bounds{Overrun: settings.WarmUp.Overrun, Slack: settings.WarmUp.Slack}
 }
 
-// tableChanged brings what is kept by instance in line with a new table.
+// tableChanged updates the state that is kept per instance after a new table.
 func (g *Gateway) tableChanged(table *routing.Table) {
 	g.boundResends(table.Gateways)
 	g.drains.note(table)
@@ -169,7 +169,7 @@
 	g.places.note(table)
 }
 
-// boundResends bounds the resends of each service by the number of gateways.
+// boundResends adjusts the burst of the resend budgets to the number of gateways.
 func (g *Gateway) boundResends(gateways int) {
 	g.budgetLock.Lock()
 	defer g.budgetLock.Unlock()
@@ -183,7 +183,7 @@
 	}
 }
 
-// budget returns the budget of resends of a service.
+// budget returns the resend budget of a service.
 func (g *Gateway) budget(service string) *retry.Budget {
 	g.budgetLock.Lock()
 	defer g.budgetLock.Unlock()
@@ -196,7 +196,7 @@
 	return budget
 }
 
-// ready reports whether the gateway takes requests.
+// ready reports whether the gateway accepts requests, and otherwise why not.
 func (g *Gateway) ready() (bool, string) {
 	switch {
 	case g.stopping.Load():
@@ -252,8 +252,7 @@
 	return err
 }
 
-// servePeers serves the directory to other gateways, and takes it from them while no
-// controller answers.
+// servePeers serves the directory to other gateways, and follows theirs while no controller answers.
 func (g *Gateway) servePeers(ctx context.Context, group *conc.WaitGroup) {
 	group.Go(func() { g.subscription.runPeers(ctx) })
 	if g.settings.PeerAddress == "" {
@@ -266,13 +265,12 @@
 		}
 		if err != nil {
 			telemetry.WithError(g.log, telemetry.EventFailed, err).WithField(telemetry.FieldAddress, g.settings.PeerAddress).
-				Warn("other gateways not served")
+				Warn("cannot serve other gateways at the peer address")
 		}
 	})
 }
 
-// endServers ends servers of health checks and metrics. Their open connections are
-// not waited for longer than a moment.
+// endServers stops the servers of health checks and metrics. It waits only briefly for their open connections.
 func endServers(servers ...*fasthttp.Server) {
 	bounded, cancel := context.WithTimeout(context.Background(), stopMargin/2)
 	defer cancel()
@@ -281,7 +279,7 @@
 	}
 }
 
-// serveMetrics serves the metrics at their own address, if there is one.
+// serveMetrics serves the metrics at their own address, if one is set.
 func (g *Gateway) serveMetrics(group *conc.WaitGroup) *fasthttp.Server {
 	server := &fasthttp.Server{Handler: telemetry.Handler(g.registry, g.ready), Name: role}
 	if g.settings.MetricsAddress == "" {
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -19,8 +19,8 @@
 	"github.com/thorntiller/thorntiller/internal/telemetry"
 )
 
-// TestStatusesThatPromise: 408, 421, 429 and 503 say that a request has not run and
-// never will; no kind with another outcome gets one of them.
+// TestStatusesThatPromise checks that 408, 421, 429 and 503, which promise that a request has not run and
+// never will, are used for no kind with another outcome.
 func TestStatusesThatPromise(t *testing.T) {
 	promises := []int{fasthttp.StatusRequestTimeout, fasthttp.StatusMisdirectedRequest, fasthttp.StatusTooManyRequests, fasthttp.StatusServiceUnavailable}
 	for _, kind := range fault.Kinds() {
@@ -44,9 +44,9 @@
 	}
 }
 
-// TestRejectedRangeIsNotAskedFor: for a while, or until the layout changes; other ranges
-// of the same holder still are, until it has rejected several. One rejection shut out all
-// keys of a holder.
+// TestRejectedRangeIsNotAskedFor guards against a single rejection that excludes all keys of a holder. A
+// rejected range is excluded for a while or until the layout changes; other ranges of the holder only once it
+// has rejected several.
 func TestRejectedRangeIsNotAskedFor(t *testing.T) {
 	l := newRejections(testClock)
 	if !l.mayAsk("a", 0, 7) {
@@ -72,22 +72,23 @@
 	}
 }
 
-// TestDrainingInstanceServesForAWhile: counted from when this gateway heard of it.
+// TestDrainingInstanceServesForAWhile checks that the time limit counts from when this gateway learned of the
+// drain.
 func TestDrainingInstanceServesForAWhile(t *testing.T) {
 	const allowed = 50 * time.Millisecond
 	d := newDrains(testClock, allowed)
 	leaving := directory.Instance{ID: "a", State: directory.InstanceDraining}
 	d.since["a"] = testClock.Now()
 	if !d.mayServe(leaving) || d.mayServe(directory.Instance{ID: "b", State: directory.InstanceDraining}) {
-		t.Error("only one that this gateway knows to drain serves on")
+		t.Error("only an instance that this gateway knows to be draining may serve")
 	}
 	time.Sleep(allowed + 10*time.Millisecond)
 	if d.mayServe(leaving) {
-		t.Error("it serves beyond the time allowed")
+		t.Error("it may serve beyond the time limit")
 	}
 }
 
-// TestDemandIsToldOnce: what was counted, by key, and nothing of it again.
+// TestDemandIsToldOnce checks that counts are reported by key, and each only once.
 func TestDemandIsToldOnce(t *testing.T) {
 	d := &demandCounter{services: make(map[string]*serviceCounts)}
 	for _, key := range []directory.Key{0, 0, 16, 65535} {
@@ -107,13 +108,12 @@
 		t.Errorf("instances %+v", told)
 	}
 	if again := d.take(); len(again.Services) != 0 {
-		t.Errorf("told again: %+v", again)
+		t.Errorf("reported again: %+v", again)
 	}
 }
 
-// TestStopDoesNotWaitForSilentConnections: to the callers' address or to that of the
-// health checks. A gateway waited 5 s for each kind, and was killed at the end of the
-// platform's grace time.
+// TestStopDoesNotWaitForSilentConnections checks idle connections to the callers' address and to that of the
+// health checks. A gateway waited 5 s for each kind, and was killed at the end of the platform's grace period.
 func TestStopDoesNotWaitForSilentConnections(t *testing.T) {
 	settings := config.DefaultGateway()
 	settings.Name, settings.Seeds = "g", []string{"127.0.0.1:1"}
@@ -153,8 +153,8 @@
 	}
 }
 
-// TestAnotherClusterReplacesTheTable: nothing of the earlier one is taken over, though
-// the revisions are the same.
+// TestAnotherClusterReplacesTheTable checks that nothing is kept from the directory of another cluster,
+// although the revisions are the same.
 func TestAnotherClusterReplacesTheTable(t *testing.T) {
 	s := newSubscription(testClock, config.DefaultGateway(), telemetry.New(role, "g", "error", io.Discard), nil, &link.Meter{})
 	for _, host := range []string{"a.example", "b.example"} {
@@ -176,12 +176,12 @@
 		}
 	}
 	if _, found := s.current().Route("a.example", "/"); found {
-		t.Error("a route of the earlier cluster stands")
+		t.Error("a route of the earlier cluster was kept")
 	}
 }
 
-// TestCallersComeBackWhenThereIsADirectory: soon where controllers answer, and later after
-// a loss of all power, when a second refusal is all that a caller would get soon.
+// TestCallersComeBackWhenThereIsADirectory checks that callers are told to retry soon while controllers
+// answer, and later after a power failure, when an early retry would only be refused again.
 func TestCallersComeBackWhenThereIsADirectory(t *testing.T) {
 	settings := config.DefaultGateway()
 	settings.Name, settings.Seeds = "g", []string{"127.0.0.1:1"}
@@ -190,19 +190,19 @@
 		t.Fatal(err)
 	}
 	if wait := gateway.retryAfterOf(fault.StaleRouter); wait != retryOutage {
-		t.Errorf("without a controller callers come back after %s", wait)
+		t.Errorf("without a controller callers retry after %s", wait)
 	}
 	controller := startStub(t)
 	gateway.subscription.controllers = []string{controller.address}
 	runInBackground(t, gateway.subscription.run)
 	eventually(t, "the controller is reached", func() bool { return gateway.retryAfterOf(fault.StaleRouter) == retryElsewhere })
 	if wait := gateway.retryAfterOf(fault.NoOwner); wait != retryAfter {
-		t.Errorf("for keys that move callers come back after %s", wait)
+		t.Errorf("for keys that move callers retry after %s", wait)
 	}
 }
 
-// TestNotRunIsSaidOfAllAttempts: a request that may have run at one instance and was rejected
-// by the next may have run. It was answered 503, which promises that it did not.
+// TestNotRunIsSaidOfAllAttempts guards against 503, which promises that a request did not run, for a request
+// that may have run at one instance and was rejected by the next.
 func TestNotRunIsSaidOfAllAttempts(t *testing.T) {
 	lost, full, late := fault.New(fault.ConnectionLost, ""), fault.New(fault.Shedding, ""), fault.New(fault.DeadlineExceeded, "")
 	for _, c := range []struct{ unknown, last, want *fault.Error }{
@@ -214,8 +214,9 @@
 	}
 }
 
-// TestKeyedRequestsAreSentAgainWhereThereIsRoom: to a holder that rejected one although hardly any
-// come to it, within the budget; not to one that is asked for more than it does.
+// TestKeyedRequestsAreSentAgainWhereThereIsRoom checks that a request is resent, within the budget, to a
+// holder that rejected it although it gets hardly any requests, and not to a holder that gets more than it can
+// serve.
 func TestKeyedRequestsAreSentAgainWhereThereIsRoom(t *testing.T) {
 	settings := config.DefaultGateway()
 	settings.Name, settings.Seeds = "g", []string{"127.0.0.1:1"}
@@ -239,30 +240,30 @@
 		return string(current.answer.Header.Peek(fasthttp.HeaderRetryAfter))
 	}
 	if !gateway.mayResend(rejected(), shed) {
-		t.Error("not sent again though the holder has room")
+		t.Error("not resent although the holder has capacity")
 	}
 	current := rejected()
 	current.attempts = append(current.attempts, holder.ID)
 	if gateway.mayResend(current, shed) {
-		t.Error("sent more often than its route allows")
+		t.Error("resent more often than its route allows")
 	}
 	if wait := returnsAfter(current); wait != "0.05" {
-		t.Errorf("the caller is to come back after %s s though the holder has room", wait)
+		t.Errorf("the caller is told to retry after %s s although the holder has capacity", wait)
 	}
 	for range 40 {
 		rejected()
 	}
 	full := rejected()
 	if gateway.mayResend(full, shed) {
-		t.Error("sent again to a holder that is asked for more than it does")
+		t.Error("resent to a holder that gets more than it can serve")
 	}
 	if wait := returnsAfter(full); wait != "0.25" {
-		t.Errorf("the caller of a full holder is to come back after %s s", wait)
+		t.Errorf("the caller of a holder at capacity is told to retry after %s s", wait)
 	}
 }
 
-// TestRequestThatMeetsADefectIsAnswered: it took down one gateway after the other as its caller sent
-// it again.
+// TestRequestThatMeetsADefectIsAnswered guards against a request that crashes one gateway after the other as
+// its caller retries it.
 func TestRequestThatMeetsADefectIsAnswered(t *testing.T) {
 	settings := config.DefaultGateway()
 	settings.Name, settings.Seeds = "g", []string{"127.0.0.1:1"}
@@ -270,7 +271,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	gateway.meter = nil // each request meets a nil pointer
+	gateway.meter = nil // the handler of each request panics on a nil pointer
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/gateway/home.go
+++ b/internal/gateway/home.go
@@ -14,32 +14,32 @@
 	"github.com/thorntiller/thorntiller/internal/wire"
 )
 
-// A gateway that starts knows the seeds alone, which are few and lie in few zones, and hears of the
-// other controllers from them. It then goes over to its home, one of those of its own network, so
-// that streams spread evenly over all controllers and changes of the directory do not cross a border
-// for each gateway: of 985 gateways 919 had stayed with one of ten controllers.
+// A gateway that starts knows only the seeds, which are few and lie in few zones, and learns the other
+// controllers from them. It then switches to its home controller, one of those in its own network, so that
+// streams spread evenly over all controllers and changes of the directory do not cross zone borders once per
+// gateway: without it, 919 of 985 gateways stayed with one of ten controllers.
 
 const (
-	// homeSoonest and homeLatest bound the time after which a gateway goes over: gateways of one
-	// start spread over it.
+	// homeSoonest and homeLatest bound the delay before a gateway switches, over which gateways that start
+	// together are spread.
 	homeSoonest = time.Second
 	homeLatest  = 3 * time.Second
-	// homeAgain is how much later it tries again after its home did not answer.
+	// homeAgain is the additional delay after a home controller did not answer.
 	homeAgain = 30 * time.Second
 )
 
-var errGoesHome = eris.New("another controller is the home of this gateway")
+var errGoesHome = eris.New("another controller is the home controller of this gateway")
 
-// homing decides when a gateway goes over to its home. It is not safe for concurrent use.
+// homing decides when a gateway switches to its home controller. It is not safe for concurrent use.
 type homing struct {
-	// due is when it does, zero while it has no reason to.
+	// due is the time of the switch; zero while there is no reason for one.
 	due time.Time
-	// tried is true once it has tried.
+	// tried is true once a switch was tried.
 	tried bool
 }
 
-// look takes whether the stream that is followed is one of another controller than the home, and
-// reports whether to go over now. Random is a number in [0, 1).
+// look takes whether the current stream is that of another controller than the home controller, and reports
+// whether to switch now. Random is a number in [0, 1).
 func (h *homing) look(now time.Time, away bool, random float64) bool {
 	if !away {
 		*h = homing{}
@@ -59,9 +59,9 @@
 	return true
 }
 
-// hearOfControllers takes the first update of a controller, which names the others, and returns
-// errGoesHome if the home is another one. The whole directory follows the first ping, so that it
-// comes from the home alone.
+// hearOfControllers receives the first update of a controller, which names the others, and returns errGoesHome
+// if another one is the home controller. The whole directory is only sent after the first ping, so that only
+// the home controller sends it.
 func (s *subscription) hearOfControllers(connection *wire.Conn, from source) error {
 	var update message.DirectoryUpdate
 	if err := connection.Receive(&update); err != nil {
@@ -80,7 +80,7 @@
 	return errGoesHome
 }
 
-// goesHome reports whether the stream of a controller is to be left for that of the home.
+// goesHome reports whether to switch from a controller's stream to that of the home controller.
 func (s *subscription) goesHome(from source) bool {
 	if from.peer {
 		return false
@@ -91,15 +91,15 @@
 	return s.homing.look(time.Now(), home != "" && home != from.address, rand.Float64())
 }
 
-// home returns the home of this gateway among controllers.
+// home returns the home controller of this gateway.
 func (s *subscription) home(controllers []string) string {
 	return homeOf(s.settings.Name, s.settings.Address, controllers)
 }
 
-// homeOf returns the home of a gateway: of the controllers whose addresses share the most with its
-// own the one that a rendezvous hash draws by its name, so that few change when controllers come or
-// go. Gateways that listen at one address on all of their interfaces share none, and are spread
-// over all. It is empty if there are no controllers.
+// homeOf returns the home controller of a gateway: among the controllers whose addresses share the longest
+// network prefix with its own, the one that rendezvous hashing selects by its name, so that few gateways
+// change when controllers come or go. Gateways that listen on all of their interfaces have the same address,
+// which shares no network, and are spread over all controllers. It is empty if there are no controllers.
 func homeOf(name, own string, controllers []string) string {
 	home, homeShared, homeWeight := "", -1, uint64(0)
 	for _, each := range controllers {
@@ -112,8 +112,8 @@
 	return home
 }
 
-// candidates returns the controllers to ask: those of the group and the seeds,
-// the home first and those of the own network next, else in a random order.
+// candidates returns the controllers to ask, those of the cluster and the seeds: the home controller first,
+// then those in the own network, otherwise in random order.
 func (s *subscription) candidates() []string {
 	s.viewLock.Lock()
 	addresses := slices.Clone(s.controllers)
--- a/internal/gateway/home_test.go
+++ b/internal/gateway/home_test.go
@@ -13,8 +13,8 @@
 	"github.com/thorntiller/thorntiller/internal/wire"
 )
 
-// TestGatewaysSpreadOverControllers: with n and 2n gateways in five zones that start with three
-// seeds, no stream crosses a border in the end, and each controller has its part of them.
+// TestGatewaysSpreadOverControllers starts n and 2n gateways in five zones with three seeds. In the end no
+// stream crosses a zone border, and the streams are spread over all controllers.
 func TestGatewaysSpreadOverControllers(t *testing.T) {
 	const zones, each = 5, 2
 	var controllers, seeds []string
@@ -49,7 +49,8 @@
 	}
 }
 
-// TestGatewaysAtOneAddressSpread: those that listen on all interfaces do not all have one home.
+// TestGatewaysAtOneAddressSpread checks that gateways that listen on all interfaces do not all have the same
+// home controller.
 func TestGatewaysAtOneAddressSpread(t *testing.T) {
 	controllers := []string{"10.1.0.1:7000", "10.2.0.1:7000", "10.3.0.1:7000"}
 	const gateways = 300
@@ -64,8 +65,8 @@
 	}
 }
 
-// TestGoesOverOnceAndLater: a gateway goes over within some seconds, not together with all others,
-// and seldom tries again while its home does not answer.
+// TestGoesOverOnceAndLater checks that a gateway switches to its home controller within some seconds, not at
+// the same time as all others, and retries rarely while that controller does not answer.
 func TestGoesOverOnceAndLater(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	began := time.Unix(0, 0)
@@ -79,29 +80,29 @@
 			}
 		}
 		if len(moves) == 0 || moves[0] < homeSoonest || moves[0] > homeLatest+time.Second {
-			t.Fatalf("goes over after %s", moves)
+			t.Fatalf("switches after %s", moves)
 		}
 		if len(moves) > 2 {
-			t.Errorf("goes over %d times in 30 s though its home does not answer", len(moves))
+			t.Errorf("switches %d times in 30 s although its home controller does not answer", len(moves))
 		}
 		within[min(int(moves[0]/time.Second)-1, 2)]++
 	}
 	for second, count := range within[:2] {
 		if count < 100 || count > 500 {
-			t.Errorf("%d of 600 gateways go over in second %d", count, second+1)
+			t.Errorf("%d of 600 gateways switch in second %d", count, second+1)
 		}
 	}
 	var h homing
 	h.look(began, true, 0.5)
 	h.look(began, false, 0.5)
 	if h.look(began.Add(time.Minute), false, 0.5) || h.look(began.Add(time.Minute), true, 0.5) {
-		t.Error("goes over at once after the controller was the home")
+		t.Error("switches at once after the stream was that of the home controller")
 	}
 }
 
-// TestDirectoryComesFromTheHomeAlone: of n and 2n gateways that start at the same moment with one
-// seed each takes one whole directory, and the seed sends those of its own gateways alone; one
-// whose home is down takes it from the seed.
+// TestDirectoryComesFromTheHomeAlone starts n and 2n gateways at the same moment with one seed each. Each
+// receives one whole directory, and the seed sends it only to the gateways whose home controller it is. A
+// gateway whose home controller is down receives it from the seed.
 func TestDirectoryComesFromTheHomeAlone(t *testing.T) {
 	const down = "127.0.0.1:1"
 	for _, gateways := range []int{6, 12} {
@@ -121,7 +122,7 @@
 			eventually(t, "the directory came", func() bool { return s.current() != nil && s.confirmed() })
 		}
 		if sent := seed.wholes.Load(); sent != atSeed || other.wholes.Load() != int64(gateways)-atSeed {
-			t.Errorf("%d gateways: the seed sent %d directories, the other controller %d; %d are at home there", gateways, sent, other.wholes.Load(), atSeed)
+			t.Errorf("%d gateways: the seed sent %d directories, the other controller %d; the seed is the home controller of %d", gateways, sent, other.wholes.Load(), atSeed)
 		}
 	}
 	seed := startStub(t)
--- a/internal/gateway/link.go
+++ b/internal/gateway/link.go
@@ -11,15 +11,14 @@
 	"github.com/thorntiller/thorntiller/internal/link"
 )
 
-// messageOverhead is what a request or an answer takes on a link beside its body, in bytes:
-// some 250 of headers, and 40 for each packet and its acknowledgement.
+// messageOverhead is the size of a request or an answer on a link beyond its body, in bytes: about 250 of
+// headers, and 40 for each packet and its acknowledgement.
 const messageOverhead = 400
 
-// defaultTarget stands for the target latency of routes that name none.
+// defaultTarget is the target latency of routes that have none.
 const defaultTarget = 500 * time.Millisecond
 
-// ownLink admits requests by the room on this machine's network link. It is safe for
-// concurrent use.
+// ownLink admits requests by the capacity of this machine's network link. It is safe for concurrent use.
 type ownLink struct {
 	mutex     sync.Mutex
 	admission *link.Admission
@@ -27,7 +26,7 @@
 
 func newOwnLink(megabits float64) *ownLink { return &ownLink{admission: link.NewAdmission(megabits)} }
 
-// linkRequest is what the admission of a request rests on.
+// linkRequest returns the properties of a request that decide its admission.
 func (g *Gateway) linkRequest(current *request) link.Request {
 	target := current.target()
 	if target <= 0 {
@@ -36,7 +35,7 @@
 	return link.Request{Now: g.clock.Now(), Route: current.route.Name, Target: target, Deadline: current.deadline - current.arrived, Urgency: current.urgency, Bulk: current.route.Kind == directory.Download}
 }
 
-// admit takes a request on, or returns why not.
+// admit admits a request to the link, or returns why not.
 func (g *Gateway) admit(current *request) error {
 	g.ownLink.mutex.Lock()
 	defer g.ownLink.mutex.Unlock()
@@ -49,14 +48,14 @@
 	return nil
 }
 
-// linkFull reports whether a request would wait too long before the link.
+// linkFull reports whether a request would wait too long for the link.
 func (g *Gateway) linkFull(current *request) bool {
 	g.ownLink.mutex.Lock()
 	defer g.ownLink.mutex.Unlock()
 	return g.ownLink.admission.Full(g.linkRequest(current))
 }
 
-// leaveLink corrects what was reserved for an admitted request by what it took.
+// leaveLink replaces the reservation of an admitted request by the bytes that it took.
 func (g *Gateway) leaveLink(current *request, served bool) {
 	took := float64(len(current.answer.Body()) + messageOverhead)
 	took += float64(current.sendings() * (len(current.inbound.Body()) + messageOverhead))
--- a/internal/gateway/linkbytes.go
+++ b/internal/gateway/linkbytes.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// linkBytesInterval is the time between two lines that tell what passed the link.
+	// linkBytesInterval is the time between two log lines about the bytes on the link.
 	linkBytesInterval = 10 * time.Second
-	// busiestInterval is the time of which the busiest one in a line is told.
+	// busiestInterval is the length of the intervals of which a log line reports the busiest.
 	busiestInterval = time.Second
 )
 
@@ -32,7 +32,7 @@
 	t.meter.AddStream(link.Out, sent)
 }
 
-// streamOf counts all bytes of a connection as one kind.
+// streamOf returns a function that counts all bytes of a connection as one kind.
 func streamOf(meter *link.Meter, kind link.Kind) func(received, sent int) {
 	return func(received, sent int) {
 		meter.Add(link.In, kind, received)
@@ -40,7 +40,7 @@
 	}
 }
 
-// meteredListener counts what callers' connections carry.
+// meteredListener counts the bytes of callers' connections.
 type meteredListener struct {
 	net.Listener
 	traffic streamTraffic
@@ -64,13 +64,13 @@
 type meteredConnection struct {
 	*net.TCPConn
 	traffic streamTraffic
-	// turn waits for the turn of bytes of the answer that is written; nil for none.
+	// turn waits for the turn to send bytes of the answer; nil for none.
 	turn func(bytes int)
-	// wait bounds the waits for the caller.
+	// wait overrides the deadlines of the waits for the caller.
 	wait waitBound
 }
 
-// The connection is still looked at without being read, see callers.
+// The callers type peeks at the connection through syscall.Conn.
 var _ syscall.Conn = (*meteredConnection)(nil)
 
 // Read implements net.Conn.
@@ -94,7 +94,7 @@
 	return count, err
 }
 
-// registerLinkBytes makes the counters of what passed the link.
+// registerLinkBytes registers the counters of bytes on the link.
 func registerLinkBytes(registry *telemetry.Metrics, meter *link.Meter) {
 	for _, direction := range link.Directions() {
 		for _, kind := range link.Kinds() {
@@ -105,12 +105,12 @@
 	}
 }
 
-// linkReport is what passed the link since the last line.
+// linkReport collects the bytes on the link for the log.
 type linkReport struct {
 	meter  *link.Meter
 	told   [2]map[link.Kind]int64
 	second [2]map[link.Kind]int64
-	// busiest is the most that one kind took in a second.
+	// busiest is the largest number of bytes of each kind within one second.
 	busiest [2]map[link.Kind]int64
 }
 
@@ -124,7 +124,7 @@
 	return report
 }
 
-// look takes the counts of a second that has passed.
+// look records the counts of the past second.
 func (r *linkReport) look() {
 	for _, direction := range link.Directions() {
 		for _, kind := range link.Kinds() {
@@ -136,8 +136,8 @@
 	}
 }
 
-// take returns what the next line says: all bytes by direction and kind, and those of the
-// busiest second, for what passed at all.
+// take returns the fields of the next log line: the bytes by direction and kind, in total and in the busiest
+// second, for kinds that had any.
 func (r *linkReport) take() logrus.Fields {
 	fields := logrus.Fields{}
 	for _, direction := range link.Directions() {
@@ -157,13 +157,13 @@
 	return fields
 }
 
-// reportLinkBytes writes a line at each interval and when the context ends.
+// reportLinkBytes logs the bytes on the link at each interval and when the context ends.
 func (g *Gateway) reportLinkBytes(ctx context.Context) {
 	report := newLinkReport(g.meter)
 	began := time.Now()
 	tell := func() {
 		telemetry.With(g.log, telemetry.EventLinkBytes).WithField(telemetry.FieldDuration, time.Since(began).Milliseconds()).
-			WithFields(report.take()).WithField("places", g.places.takeAsked()).Info("bytes on the own link")
+			WithFields(report.take()).WithField("places", g.places.takeAsked()).Info("bytes on the network link")
 		began = time.Now()
 	}
 	clock.Every(ctx, busiestInterval, func() {
--- a/internal/gateway/observe.go
+++ b/internal/gateway/observe.go
@@ -10,7 +10,7 @@
 	"github.com/thorntiller/thorntiller/internal/telemetry"
 )
 
-// metrics of a gateway.
+// metrics are the metrics of a gateway.
 type metrics struct {
 	requests *prometheus.CounterVec
 	resends  *prometheus.CounterVec
@@ -18,7 +18,7 @@
 	inFlight *gauge
 }
 
-// gauge is a gauge that the process reads, too.
+// gauge is a gauge whose value the process reads as well.
 type gauge struct{ value atomic.Int64 }
 
 func (g *gauge) Inc() { g.value.Add(1) }
@@ -39,8 +39,7 @@
 	return built
 }
 
-// observe counts a request, and writes a line for one that the gateway answered in
-// its own name.
+// observe records a request in the metrics, and logs it if the gateway refused it or sent it more than once.
 func (g *Gateway) observe(current *request, failure *fault.Error) {
 	took := g.clock.Now() - current.arrived
 	kind := ""
--- a/internal/gateway/outbox.go
+++ b/internal/gateway/outbox.go
@@ -5,8 +5,7 @@
 	"sync"
 )
 
-// outbox collects what is to be sent while the last message is being sent. It is safe for
-// concurrent use.
+// outbox collects the items to send while the previous message is being sent. It is safe for concurrent use.
 type outbox[T any] struct {
 	mutex   sync.Mutex
 	waiting []T
@@ -15,10 +14,10 @@
 
 func newOutbox[T any]() *outbox[T] { return &outbox[T]{wake: make(chan struct{}, 1)} }
 
-// mostInOutbox bounds what waits for a connection that does not carry it; more is dropped.
+// mostInOutbox bounds the items that wait for a stalled connection; further ones are dropped.
 const mostInOutbox = 4096
 
-// add takes more to be sent. It does not block.
+// add queues items. It does not block.
 func (o *outbox[T]) add(more []T) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -40,7 +39,7 @@
 	return taken
 }
 
-// run sends until the context ends or sending fails.
+// run sends the queued items until the context ends or sending fails.
 func (o *outbox[T]) run(ctx context.Context, send func([]T) error) {
 	for {
 		select {
--- a/internal/gateway/pacer.go
+++ b/internal/gateway/pacer.go
@@ -9,21 +9,20 @@
 )
 
 const (
-	// smallWrite is the size up to which bytes leave at once: heads, rejections and requests
-	// without a body take little of the link, and much waits for them.
+	// smallWrite is the size in bytes up to which data is sent without a turn: headers, rejections and
+	// requests without a body take little of the link, and much depends on them.
 	smallWrite = 700
-	// largestTurn is the largest part of an answer or a body that leaves in one turn, so that
-	// a long one does not hold up the others for longer than some 30 ms on 2 Mbit/s.
+	// largestTurn is the largest part of an answer or a body that is sent in one turn, so that a long one
+	// delays the others by at most about 30 ms at 2 Mbit/s.
 	largestTurn = 8 << 10
 )
 
-// pacer lets answers and bodies leave in the order of a link.Schedule. It is safe for
-// concurrent use.
+// pacer sends answers and bodies in the order of a link.Schedule. It is safe for concurrent use.
 type pacer struct {
 	clock    clock.Clock
 	mutex    sync.Mutex
 	schedule *link.Schedule
-	// leave tells the turns that wait that they have come.
+	// leave has a channel for each waiting turn, which is closed when the turn is due.
 	leave map[*link.Turn]chan struct{}
 	timer *time.Timer
 }
@@ -34,7 +33,7 @@
 	return p
 }
 
-// wait returns once bytes of a request may leave.
+// wait returns once the bytes of a request may be sent.
 func (p *pacer) wait(bytes int, like link.Turn) {
 	p.mutex.Lock()
 	now := p.clock.Now()
@@ -62,8 +61,7 @@
 	p.release(p.clock.Now())
 }
 
-// release lets those leave whose turn has come, and looks again when the next one comes. The
-// mutex must be held.
+// release releases the turns that are due, and sets the timer for the next one. The mutex must be held.
 func (p *pacer) release(now time.Duration) {
 	for {
 		turn, again := p.schedule.Next(now)
@@ -78,7 +76,8 @@
 	}
 }
 
-// turnOf returns what waits for the turns of the bytes of a request or its answer, of a size.
+// turnOf returns a function that waits for a turn for bytes of a request or its answer, of the given total
+// size.
 func (p *pacer) turnOf(current *request, size int) func(bytes int) {
 	turn := link.Turn{
 		Urgency: current.urgency, Target: current.arrived + current.target(), Bulk: size >= link.BulkBytes,
@@ -86,7 +85,7 @@
 	return func(bytes int) { p.wait(bytes, turn) }
 }
 
-// writeInTurns writes data in parts, each once its turn has come.
+// writeInTurns writes data in parts, each in its own turn.
 func writeInTurns(data []byte, turn func(bytes int), write func([]byte) (int, error)) (int, error) {
 	written := 0
 	for {
--- a/internal/gateway/peer.go
+++ b/internal/gateway/peer.go
@@ -16,44 +16,39 @@
 	"github.com/thorntiller/thorntiller/internal/wire"
 )
 
-// A gateway that no controller answers takes the directory from another gateway that
-// one does answer. A directory passes on once only: a gateway serves it to others while
-// its own comes from a controller.
+// A gateway that gets no answer from a controller follows the directory of another gateway that does. A
+// directory is passed on only once: a gateway serves it to others only while its own comes from a controller.
 
 const (
-	// peerLookInterval is the time between two looks whether a controller answers.
+	// peerLookInterval is the interval at which the gateway checks whether a controller answers.
 	peerLookInterval = 100 * time.Millisecond
-	// peerRetryPause is the wait after no other gateway could serve the directory: most
-	// likely the controllers elect a leader, which takes some tenths of a second.
+	// peerRetryPause is the delay after no other gateway could serve the directory: most likely the
+	// controllers are electing a leader, which takes several 100 ms.
 	peerRetryPause = 300 * time.Millisecond
-	// peerGather is how long a stream to another gateway waits after a change for
-	// further ones.
+	// peerGather is the delay after a change in which further ones are collected for one update.
 	peerGather = 20 * time.Millisecond
-	// peerPingsWaiting bounds the pings of one gateway that wait for their answer.
+	// peerPingsWaiting bounds the unanswered pings of one gateway.
 	peerPingsWaiting = 4
-	// maxPeerStreams bounds the gateways that take the directory from this one: twice
-	// as many as are told of it, see maxPeers of the controllers.
+	// maxPeerStreams bounds the gateways that follow the directory of this one: twice as many as the
+	// controllers refer to it, see their maxPeers.
 	maxPeerStreams = 8
 	// maxPeerConnections bounds the connections of other gateways for all purposes.
 	maxPeerConnections = 4096
-	// placeIdle is how long a gateway that asks for places may be silent.
+	// placeIdle is the idle timeout of the connection of a gateway that requests places.
 	placeIdle = time.Minute
 )
 
-// confirmed reports whether a controller has confirmed of late that the directory is
-// current.
+// confirmed reports whether a controller has recently confirmed that the directory is current.
 func (s *subscription) confirmed() bool {
 	confirmed := s.confirmedAt.Load()
 	return confirmed != nil && s.clock.Now()-*confirmed < s.settings.PongTimeout+s.settings.PingInterval
 }
 
-// lostControllers reports whether controllers confirmed the directory once and do not any
-// more. A gateway that has just started waits for them: a whole directory would fill the
-// narrow link of another gateway.
+// lostControllers reports whether controllers once confirmed the directory and no longer do. A gateway that
+// has just started waits for them: a whole directory would saturate the narrow link of another gateway.
 func (s *subscription) lostControllers() bool { return s.confirmedAt.Load() != nil && !s.confirmed() }
 
-// runPeers takes the directory from other gateways while no controller answers, until
-// the context ends.
+// runPeers follows the directory of other gateways while no controller answers, until the context ends.
 func (s *subscription) runPeers(ctx context.Context) {
 	for ctx.Err() == nil {
 		if peers := s.knownPeers(); len(peers) > 0 && s.lostControllers() {
@@ -72,8 +67,7 @@
 	return slices.Clone(s.peers)
 }
 
-// followPeer takes the stream of another gateway until it breaks or a controller
-// answers again.
+// followPeer follows the stream of another gateway until it breaks or a controller answers again.
 func (s *subscription) followPeer(ctx context.Context, address string) {
 	if s.confirmed() || ctx.Err() != nil {
 		return
@@ -104,7 +98,7 @@
 	})
 }
 
-// servePeer serves what another gateway asks for.
+// servePeer serves one connection of another gateway.
 func (g *Gateway) servePeer(ctx context.Context, connection *wire.Conn) error {
 	var hello message.Hello
 	if err := connection.Receive(&hello); err != nil {
@@ -121,11 +115,11 @@
 	}
 }
 
-// errPeersServed ends a connection beyond the bound.
-var errPeersServed = eris.New("as many gateways as may take the directory from this one")
+// errPeersServed ends a connection beyond maxPeerStreams.
+var errPeersServed = eris.New("the maximum number of gateways already follow the directory of this one")
 
-// servePeer serves the directory to one gateway: what it lacks, then each change, and a pong
-// for each ping while the own directory is confirmed.
+// servePeer serves the directory to one gateway: the changes since its revision, then each further change, and
+// a pong for each ping while this gateway's directory is confirmed.
 func (s *subscription) servePeer(ctx context.Context, connection *wire.Conn) error {
 	defer s.peerStreams.Add(-1)
 	if s.peerStreams.Add(1) > maxPeerStreams {
@@ -192,8 +186,7 @@
 	}
 }
 
-// updateAfter returns what a gateway lacks that holds a revision of a cluster's
-// directory.
+// updateAfter returns the changes that a gateway lacks which has a given revision of a cluster's directory.
 func (s *subscription) updateAfter(cluster message.ClusterID, held directory.Revision) message.DirectoryUpdate {
 	s.viewLock.Lock()
 	defer s.viewLock.Unlock()
--- a/internal/gateway/peer_test.go
+++ b/internal/gateway/peer_test.go
@@ -24,11 +24,11 @@
 // stubController serves a directory to gateways and answers their pings.
 type stubController struct {
 	address string
-	// silent keeps connections open without a word.
+	// silent keeps connections open without sending anything.
 	silent atomic.Bool
-	// peers are told to each gateway.
+	// peers are sent to each gateway.
 	peers []string
-	// controllers are told before the directory, which then waits for a ping.
+	// controllers are sent before the directory, which then follows the first ping.
 	controllers []string
 	// wholes counts the whole directories that were sent.
 	wholes atomic.Int64
@@ -124,13 +124,13 @@
 	return &message.DirectoryUpdate{Cluster: "cluster", Changes: &changes}
 }
 
-// startSubscription runs the subscription of a gateway to controllers at addresses.
+// startSubscription runs the subscription of a gateway to the given controllers.
 func startSubscription(t *testing.T, controllers ...string) *subscription {
 	t.Helper()
 	return startPatientSubscription(t, 200*time.Millisecond, controllers...)
 }
 
-// startPatientSubscription waits for a time for each confirmation.
+// startPatientSubscription is like startSubscription with a pong timeout.
 func startPatientSubscription(t *testing.T, pongTimeout time.Duration, controllers ...string) *subscription {
 	t.Helper()
 	settings := config.DefaultGateway()
@@ -151,10 +151,9 @@
 	}
 }
 
-// TestDirectoryFromAnotherGateway: a gateway that no controller answers takes the
-// directory from one that a controller does answer, and goes back to a controller once
-// one answers. It kept an old directory, and sent requests for keys to instances that
-// had lost them.
+// TestDirectoryFromAnotherGateway guards against a gateway without a controller that keeps an old directory,
+// and sends requests for keys to instances that have lost them. It follows the directory of a gateway whose
+// controller answers, and returns to a controller once one answers.
 func TestDirectoryFromAnotherGateway(t *testing.T) {
 	controller := startStub(t)
 	connected := startSubscription(t, controller.address)
@@ -172,12 +171,12 @@
 	cut.peers = []string{peerListener.Addr().String()}
 	cut.viewLock.Unlock()
 	runInBackground(t, cut.runPeers)
-	eventually(t, "the gateway that is cut off gets the directory", func() bool {
+	eventually(t, "the gateway without a controller gets the directory", func() bool {
 		_, found := cut.knownService("added")
 		return found
 	})
 	if cut.confirmed() {
-		t.Error("a directory from another gateway counts as confirmed by a controller, so that it would be passed on")
+		t.Error("a directory from another gateway counts as confirmed by a controller and would be passed on")
 	}
 	unreachable.silent.Store(false)
 	eventually(t, "a controller confirms again", cut.confirmed)
@@ -195,8 +194,8 @@
 	return service.Config, true
 }
 
-// TestUnconfirmedDirectoryIsNotPassedOn: a gateway that no controller confirms refuses
-// other gateways, so that two that are cut off do not confirm each other.
+// TestUnconfirmedDirectoryIsNotPassedOn checks that a gateway whose directory is not confirmed by a controller
+// rejects other gateways, so that two gateways without a controller do not confirm each other.
 func TestUnconfirmedDirectoryIsNotPassedOn(t *testing.T) {
 	lonely := startSubscription(t)
 	listener := listen(t)
@@ -220,7 +219,7 @@
 	}
 }
 
-// TestPeersAreTold: a controller tells its gateways of each other.
+// TestPeersAreTold checks that a controller tells its gateways of each other.
 func TestPeersAreTold(t *testing.T) {
 	controller := startStub(t, "127.0.0.1:7", "127.0.0.1:8")
 	s := startSubscription(t, controller.address)
--- a/internal/gateway/place.go
+++ b/internal/gateway/place.go
@@ -12,30 +12,30 @@
 	"github.com/thorntiller/thorntiller/internal/routing"
 )
 
-// mayKeep reports whether an instance without keys gets requests now. Cold ones get theirs by
-// each gateway's share, see coldStarts.
+// mayKeep reports whether an instance without keys gets requests through its keeper now. Cold instances do
+// not: each gateway sends them its own share, see coldStarts.
 func (g *Gateway) mayKeep(instance directory.Instance) bool {
 	return instance.Serving() && !g.evacuations.excludes(instance) && !g.coldStarts.cold(g.clock.Now(), instance.ID)
 }
 
-// leastPlaceMegabits is the link below which a gateway takes no part in giving out places: on
-// 2.3 Mbit/s an ask waited 45 ms for its answer in the median under bursts, behind answers and
-// bodies, which is more than a place saves.
+// leastPlaceMegabits is the link speed below which a gateway neither requests nor grants places: on 2.3 Mbit/s
+// an ask waited 45 ms for its answer in the median under bursts, behind answers and bodies, which is more than
+// a place saves.
 const leastPlaceMegabits = 20
 
-// takesPart reports whether a gateway asks for places and gives them out.
+// takesPart reports whether a gateway requests places and grants them.
 func takesPart(settings config.Gateway) bool {
 	return settings.KeepPlaces && (settings.LinkMegabits == 0 || settings.LinkMegabits >= leastPlaceMegabits)
 }
 
-// asksForPlace reports whether a keeper is to be asked for a request: once, and not for one
-// that is sent again, which knows where it must not go.
+// asksForPlace reports whether a place is to be requested from a keeper: once per request, and not for a
+// resend, since a keeper does not know which instances it must avoid.
 func (g *Gateway) asksForPlace(current *request) bool {
 	return takesPart(g.settings) && !current.asked && len(current.attempts) == 0
 }
 
-// placeInService asks for a place at any instance of a service. Decided is false if the
-// gateway is to choose by its own counts.
+// placeInService requests a place at any instance of a service. Decided is false if the gateway is to choose
+// by its own counts.
 func (g *Gateway) placeInService(current *request, service *routing.Service) (chosen directory.Instance, failure *fault.Error, decided bool) {
 	if !g.asksForPlace(current) {
 		return directory.Instance{}, nil, false
@@ -62,8 +62,8 @@
 	}
 }
 
-// placeAtHolder asks for a place at the holder of a request's key. Decided is false if the
-// gateway is to go by its own counts.
+// placeAtHolder requests a place at the holder of the request's key. Decided is false if the gateway is to
+// choose by its own counts.
 func (g *Gateway) placeAtHolder(current *request, holder directory.Instance) (failure *fault.Error, decided bool) {
 	if !g.asksForPlace(current) || g.coldStarts.cold(g.clock.Now(), holder.ID) {
 		return nil, false
@@ -86,7 +86,7 @@
 	}
 }
 
-// stillHolds reports whether an instance holds the request's key by the newest table.
+// stillHolds reports whether an instance holds the request's key according to the newest table.
 func (g *Gateway) stillHolds(current *request, id directory.InstanceID) bool {
 	service, found := g.subscription.current().Service(current.service)
 	if !found {
@@ -96,13 +96,13 @@
 	return found && holding.Owner == id && holding.Granted && !holding.Revoked
 }
 
-// begin counts a request with a place as in flight to its instance.
+// begin counts a request that has a place as in flight to its instance.
 func (g *Gateway) begin(current *request, instance directory.Instance, answer placeAnswer) {
 	g.balancer.TryBegin(g.clock.Now(), instance, math.MaxInt)
 	current.place = answer.place
 }
 
-// coldInstance returns a cold instance that may get a request of this gateway now.
+// coldInstance returns a cold instance to which this gateway may send a request now.
 func (g *Gateway) coldInstance(current *request, service *routing.Service) (directory.Instance, bool) {
 	now := g.clock.Now()
 	var cold []directory.Instance
@@ -125,13 +125,13 @@
 	return instance, true
 }
 
-// rejected notes that there is no place in time.
+// rejected records that no place is available in time, and returns the failure.
 func (r *request) rejected(answer placeAnswer) *fault.Error {
 	r.noRoom, r.retryIn = true, answer.wait
 	return fault.Newf(fault.QueueFull, "no place at service %q in time; the next one is expected in %s", r.service, answer.wait.Round(time.Millisecond))
 }
 
-// endPlace gives the place of an attempt back.
+// endPlace returns the place of an attempt with its outcome.
 func (g *Gateway) endPlace(current *request, took time.Duration, failure *fault.Error) {
 	outcome := room.Answered
 	switch {
--- a/internal/gateway/placekeeper.go
+++ b/internal/gateway/placekeeper.go
@@ -20,33 +20,32 @@
 )
 
 const (
-	// keeperTick is the time between two looks at places that end by themselves and at
-	// requests that wait without success.
+	// keeperTick is the interval at which places and waiting requests are checked for expiry.
 	keeperTick = 20 * time.Millisecond
-	// urgencyScale is the urgency of the most urgent route in messages.
+	// urgencyScale is the encoded urgency of the most urgent route.
 	urgencyScale = 100
 )
 
-// placeKeeper gives out the places of the instances that this gateway keeps, to itself and
-// to others. It is safe for concurrent use.
+// placeKeeper grants the places of the instances that this gateway keeps, to itself and to other gateways. It
+// is safe for concurrent use.
 type placeKeeper struct {
 	clock clock.Clock
 	// usable reports whether an instance of a pool gets requests now.
 	usable func(directory.Instance) bool
-	// kept are the queues of the newest table.
+	// kept has the queues of the newest table.
 	kept  atomic.Pointer[map[uint32]keptQueue]
 	last  atomic.Uint64
 	mutex sync.Mutex
 	core  *room.Keeper
-	// askers take the answers for each asker.
+	// askers has the function that takes the answers for each asker.
 	askers map[room.Asker]func([]message.PlaceAnswer)
 }
 
-// keptQueue is what an ask may wait for.
+// keptQueue is a queue in which an ask may wait.
 type keptQueue struct {
 	name    string
 	servers []directory.Instance
-	// pool is true for instances of which any may serve a request.
+	// pool is true if any of the instances may serve a request.
 	pool bool
 }
 
@@ -58,13 +57,13 @@
 	return k
 }
 
-// poolQueue and holderQueue number the queues of a pool and of a holder of keys.
+// poolQueue and holderQueue return the number of the queue of a pool and of a holder of keys.
 func poolQueue(pool room.Pool) uint32 { return uint32(xxhash.Sum64String(pool.Name)) }
 
 func holderQueue(id directory.InstanceID) uint32 { return uint32(directory.ReferenceOf(id)) }
 
-// note takes a new table with the pools of its services: asks for any of its instances are served, whoever is said to keep
-// them, since the asker may have a newer table.
+// note applies a new table with the pools of its services. Asks for any of the instances are served, whichever
+// gateway the table names as their keeper, since the asker may have a newer table.
 func (k *placeKeeper) note(table *routing.Table, pools map[string][]room.Pool) {
 	kept := make(map[uint32]keptQueue)
 	for _, name := range table.Services() {
@@ -82,7 +81,7 @@
 	k.kept.Store(&kept)
 }
 
-// join adds an asker, whose answers are given to a function that must not block.
+// join adds an asker. Its answers are passed to answered, which must not block.
 func (k *placeKeeper) join(address string, answered func([]message.PlaceAnswer)) room.Asker {
 	asker := room.Asker(fmt.Sprintf("%s#%d", address, k.last.Add(1)))
 	k.mutex.Lock()
@@ -91,7 +90,7 @@
 	return asker
 }
 
-// leave takes note that an asker went away.
+// leave removes an asker that disconnected.
 func (k *placeKeeper) leave(asker room.Asker) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
@@ -99,7 +98,7 @@
 	k.core.Lose(k.clock.Now(), asker)
 }
 
-// take takes a message of an asker.
+// take processes a message from an asker.
 func (k *placeKeeper) take(asker room.Asker, request message.PlaceRequest) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
@@ -139,7 +138,7 @@
 	}
 }
 
-// tell hands the answers that are due to their askers. The mutex must be held.
+// tell passes the pending answers to their askers. The mutex must be held.
 func (k *placeKeeper) tell() {
 	due := make(map[room.Asker][]message.PlaceAnswer)
 	for _, answer := range k.core.Take() {
@@ -158,7 +157,7 @@
 	}
 }
 
-// run ends what is due by itself until the context ends.
+// run expires places and waiting requests until the context ends.
 func (k *placeKeeper) run(ctx context.Context) {
 	clock.Every(ctx, keeperTick, func() {
 		k.mutex.Lock()
--- a/internal/gateway/placelink.go
+++ b/internal/gateway/placelink.go
@@ -14,71 +14,70 @@
 )
 
 const (
-	// redialPause is the wait after a keeper could not be reached or its connection broke.
+	// redialPause is the delay after a failed connection attempt or a lost connection.
 	redialPause = 300 * time.Millisecond
-	// placeReadBuffer is the buffer of a connection about places, in bytes: messages are short,
-	// and a keeper has a connection of each gateway.
+	// placeReadBuffer is the read buffer of a connection for places, in bytes: messages are short, and a
+	// keeper has one connection from each gateway.
 	placeReadBuffer = 1 << 10
-	// suspectTime is how long a keeper that gave no answer in time is not asked.
+	// suspectTime is how long a keeper that did not answer in time is not asked.
 	suspectTime = 500 * time.Millisecond
-	// affordableShare is the share of a request's target that an ask may cost. A place saves
-	// some of the wait in a server's queue; behind full links the answer costs more than
-	// that.
+	// affordableShare is the share of a request's target latency that an ask may take. A place saves part of
+	// the wait in a server's queue; behind saturated links the answer takes longer than that.
 	affordableShare = 0.02
-	// probeInterval is the time between two asks of a keeper that answers too slowly for all
-	// others.
+	// probeInterval is the time between two asks to a keeper that is otherwise too slow to be asked.
 	probeInterval = 250 * time.Millisecond
-	// answerSmoothing is the weight of the newest answer in the mean time to one.
+	// answerSmoothing is the weight of the newest sample in the moving average of the answer time.
 	answerSmoothing = 0.1
 )
 
 // placeLink is the connection to one keeper. It is safe for concurrent use.
 type placeLink struct {
 	address string
-	// local takes messages where this gateway is the keeper; nil elsewhere.
+	// local takes messages if this gateway is itself the keeper; nil otherwise.
 	local   func(message.PlaceRequest)
 	options wire.Options
 	name    string
 	log     *logrus.Entry
 	mutex   sync.Mutex
-	// closed is true once the gateway on the other end is a keeper no longer, and cancel ends
-	// the connection to it; nil while there is none.
+	// closed is true once the other gateway is no longer a keeper. cancel ends the connection to it; nil while
+	// there is none.
 	closed bool
 	cancel context.CancelFunc
-	// outgoing is that of the open connection; nil while there is none.
+	// outgoing is the outbox of the open connection; nil while there is none.
 	outgoing *outbox[outgoingPlace]
 	dialing  bool
-	// unreachable is true once it was logged that the keeper is out of reach.
+	// unreachable is true once it was logged that the keeper is unreachable.
 	unreachable bool
 	redialAt    time.Time
 	suspect     time.Time
 	last        uint32
-	// answerTime is the mean time until a first answer, and probedAt when one was asked for
-	// last.
+	// answerTime is the moving average of the time until the first answer, and probedAt when an ask was last
+	// sent.
 	answerTime time.Duration
 	probedAt   time.Time
-	// pending takes the answers to each ask.
+	// pending has the channel for the answers to each ask.
 	pending map[uint32]chan message.PlaceAnswer
 }
 
-// outgoingPlace is an ask or an end.
+// outgoingPlace is an ask or the end of a place.
 type outgoingPlace struct {
 	ask *message.PlaceAsk
 	end *message.PlaceEnd
 }
 
-// answersOfAsk is how many answers one ask may get: that it waits, and the verdict.
+// answersOfAsk is the buffer for the answers to one ask: that it is queued, which may be repeated, and the
+// verdict.
 const answersOfAsk = 4
 
-// answeredAfter notes how long a first answer took.
+// answeredAfter adds a first answer to the average answer time.
 func (l *placeLink) answeredAfter(took time.Duration) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.answerTime += time.Duration(answerSmoothing * float64(took-l.answerTime))
 }
 
-// affordable reports whether an answer is expected soon enough for a request with a target.
-// The mutex must be held.
+// affordable reports whether an answer is expected soon enough for a request with a target latency. The mutex
+// must be held.
 func (l *placeLink) affordable(target time.Duration) bool {
 	now := time.Now()
 	if float64(l.answerTime) > affordableShare*float64(target) && now.Sub(l.probedAt) < probeInterval {
@@ -88,8 +87,8 @@
 	return true
 }
 
-// ask sends an ask, and returns its number and where its answers come; false while the
-// keeper is out of reach, or answers too slowly for the target of the request.
+// ask sends an ask, and returns its number and the channel of its answers. It returns false while the keeper
+// is unreachable or answers too slowly for the request's target.
 func (l *placeLink) ask(ask message.PlaceAsk, target time.Duration) (uint32, <-chan message.PlaceAnswer, bool) {
 	l.mutex.Lock()
 	if l.outgoing == nil && l.local == nil || time.Now().Before(l.suspect) || !l.affordable(target) {
@@ -105,17 +104,17 @@
 	return ask.Number, answers, true
 }
 
-// forget ends the wait for answers to an ask.
+// forget stops waiting for answers to an ask.
 func (l *placeLink) forget(number uint32) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	delete(l.pending, number)
 }
 
-// end gives a place back.
+// end returns a place.
 func (l *placeLink) end(end message.PlaceEnd) { l.send(outgoingPlace{end: &end}) }
 
-// noAnswer notes that an ask was not answered in time.
+// noAnswer records that an ask was not answered in time.
 func (l *placeLink) noAnswer() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -146,7 +145,7 @@
 	return request
 }
 
-// answered hands answers to those who wait for them.
+// answered passes answers to the requests that wait for them.
 func (l *placeLink) answered(answers []message.PlaceAnswer) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -163,7 +162,7 @@
 	}
 }
 
-// connect opens the connection in the background if there is none.
+// connect opens a connection in the background if there is none.
 func (l *placeLink) connect(ctx context.Context, group *conc.WaitGroup) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -185,7 +184,7 @@
 	}
 }
 
-// follow keeps one connection until it breaks. Asks that wait get no answer then.
+// follow runs one connection until it breaks; pending asks then get no answer.
 func (l *placeLink) follow(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -222,7 +221,7 @@
 	}
 }
 
-// noteUnreachable logs that the keeper could not be reached, once until it was.
+// noteUnreachable logs that the keeper is unreachable, once until it is reached.
 func (l *placeLink) noteUnreachable(err error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -231,23 +230,23 @@
 	}
 	l.unreachable = true
 	telemetry.WithError(l.log, telemetry.EventPeerUnreachable, err).WithField(telemetry.FieldAddress, l.address).
-		Warn("keeper of places out of reach")
+		Warn("place keeper unreachable")
 }
 
 func (l *placeLink) opened(outgoing *outbox[outgoingPlace]) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.outgoing, l.dialing, l.unreachable = outgoing, false, false
-	telemetry.With(l.log, telemetry.EventPeerReached).WithField(telemetry.FieldAddress, l.address).Info("keeper of places reached")
+	telemetry.With(l.log, telemetry.EventPeerReached).WithField(telemetry.FieldAddress, l.address).Info("connected to place keeper")
 }
 
-// broken tells those who wait that no answer comes.
+// broken records that the connection ended, and releases the requests that wait for answers.
 func (l *placeLink) broken() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.outgoing != nil && !l.closed {
 		telemetry.With(l.log, telemetry.EventPeerUnreachable).WithField(telemetry.FieldAddress, l.address).
-			WithField("waiting", len(l.pending)).Warn("connection to a keeper of places lost")
+			WithField("waiting", len(l.pending)).Warn("connection to place keeper lost")
 	}
 	l.cancel()
 	l.outgoing, l.dialing, l.cancel = nil, false, nil
--- a/internal/gateway/places.go
+++ b/internal/gateway/places.go
@@ -21,22 +21,22 @@
 )
 
 const (
-	// firstAnswer is how long a keeper may take to say anything: many times the way there and
-	// back within a region, and the queue before two full links.
+	// firstAnswer is the time limit for the first answer of a keeper: many round trips within a region, plus
+	// the queues of two saturated links.
 	firstAnswer = 50 * time.Millisecond
-	// queuedSilence is how long a keeper with which a request waits may say nothing: it repeats
-	// that the request waits.
+	// queuedSilence is the time limit between two answers of a keeper while a request waits there: the keeper
+	// repeats that the request is queued.
 	queuedSilence = 2*room.RepeatInterval + firstAnswer
-	// otherZone is by how much sooner a place in another zone must be expected to be preferred
-	// to one in the own zone: requests and answers between zones cost.
+	// otherZone is by how much shorter the expected wait in another zone must be for its pool to be preferred
+	// over one in the gateway's own zone, since traffic between zones costs.
 	otherZone = 60 * time.Millisecond
-	// mostWaits bounds the queues of which it is remembered what their keepers said.
+	// mostWaits bounds the number of queues whose last reported wait is remembered.
 	mostWaits = 4096
-	// poolsAsked bounds the pools that one request asks in turn.
+	// poolsAsked bounds the pools that are asked in turn for one request.
 	poolsAsked = 2
 )
 
-// places asks the keepers of instances for places. It is safe for concurrent use.
+// places requests places at instances from their keepers. It is safe for concurrent use.
 type places struct {
 	clock    clock.Clock
 	settings config.Gateway
@@ -48,35 +48,35 @@
 	context context.Context
 	group   conc.WaitGroup
 	links   map[string]*placeLink
-	// pools are those of each service without keys, in the newest table.
+	// pools has the pools of each service without keys, from the newest table.
 	pools   map[string][]room.Pool
 	keepers []directory.Keeper
-	// waits are what keepers said last of each queue.
+	// waits has the last wait that a keeper reported for each queue.
 	waits map[uint32]toldWait
-	// asked counts what became of asks since the last line about them.
+	// asked counts asks by result since the last log line about them.
 	asked askCounts
 }
 
-// askCounts are asks by what became of them.
+// askCounts counts asks by result.
 type askCounts struct {
-	// Unreached and Unanswered are those that no keeper could be asked for, and to which one
-	// said nothing in time; Unknown are all without a verdict, these among them.
+	// Unknown counts all asks without a verdict. Among them are Unreached, for which no keeper could be asked,
+	// and Unanswered, to which the keeper did not answer in time.
 	Granted    int64 `json:"granted"`
 	Rejected   int64 `json:"rejected"`
 	Unreached  int64 `json:"unreached"`
 	Unanswered int64 `json:"unanswered"`
 	Unknown    int64 `json:"unknown"`
-	// WaitMs is the time until the verdict, summed over those granted.
+	// WaitMs is the sum of the times until the verdict, over the granted asks.
 	WaitMs int64 `json:"granted_wait_ms"`
 }
 
-// toldWait is when a place was expected.
+// toldWait is the wait that a keeper reported, and when.
 type toldWait struct {
 	at   time.Duration
 	wait time.Duration
 }
 
-// left is how much of the wait is left.
+// left returns the part of the wait that remains.
 func (t toldWait) left(now time.Duration) time.Duration { return max(0, t.wait-(now-t.at)) }
 
 func newPlaces(system clock.Clock, settings config.Gateway, log *logrus.Entry, keeper *placeKeeper, meter *link.Meter) *places {
@@ -86,7 +86,7 @@
 	}
 }
 
-// run gives out places until the context ends.
+// run keeps the connections to keepers and grants places to other gateways until the context ends.
 func (p *places) run(ctx context.Context) {
 	p.mutex.Lock()
 	p.context = ctx
@@ -95,7 +95,7 @@
 	p.group.Wait()
 }
 
-// note takes a new table.
+// note applies a new table.
 func (p *places) note(table *routing.Table) {
 	if !takesPart(p.settings) {
 		return
@@ -116,8 +116,7 @@
 	p.closeOthers()
 }
 
-// closeOthers ends the connections to gateways that are keepers no longer. The mutex must be
-// held.
+// closeOthers closes the connections to gateways that are no longer keepers. The mutex must be held.
 func (p *places) closeOthers() {
 	for address, toKeeper := range p.links {
 		named := slices.ContainsFunc(p.keepers, func(keeper directory.Keeper) bool { return keeper.Address == address })
@@ -151,7 +150,7 @@
 	return known
 }
 
-// heldPlace is a place at an instance, to be given back by end.
+// heldPlace is a granted place at an instance, to be returned with end.
 type heldPlace struct {
 	link   *placeLink
 	number uint32
@@ -163,16 +162,16 @@
 	}
 }
 
-// placeAnswer is what became of an ask: the verdict Unknown if no keeper gave one.
+// placeAnswer is the result of an ask; its verdict is Unknown if no keeper gave one.
 type placeAnswer struct {
 	verdict room.Verdict
 	server  directory.Reference
 	place   *heldPlace
-	// wait is when there is room again.
+	// wait is the expected time until there is capacity.
 	wait time.Duration
 }
 
-// ofHolder asks for a place at the holder of a request's key.
+// ofHolder requests a place at the holder of the request's key.
 func (p *places) ofHolder(current *request, holder directory.Instance) placeAnswer {
 	p.mutex.Lock()
 	address := room.KeeperOf(holder, p.keepers)
@@ -185,7 +184,7 @@
 	return p.ask(current, toKeeper, holderQueue(holder.ID))
 }
 
-// ofService asks for a place at any instance of a service without keys.
+// ofService requests a place at any instance of a service without keys.
 func (p *places) ofService(current *request) placeAnswer {
 	answer := placeAnswer{verdict: room.Unknown}
 	asked := make(map[uint32]bool)
@@ -203,8 +202,8 @@
 	return answer
 }
 
-// bestPool returns the pool with the shortest wait, that of the own zone unless another one is
-// clearly better.
+// bestPool returns the pool with the shortest expected wait, where pools in other zones count otherZone
+// longer. It starts at a random pool, so that equal waits do not all lead to the same one.
 func (p *places) bestPool(service string, asked map[uint32]bool) (*placeLink, uint32, bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -231,7 +230,7 @@
 	return p.linkTo(best.Keeper), poolQueue(best), true
 }
 
-// takeAsked returns the counts since the last call.
+// takeAsked returns the counts since the last call and resets them.
 func (p *places) takeAsked() askCounts {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -240,14 +239,14 @@
 	return taken
 }
 
-// count adds an ask to the counts.
+// count updates the counts of asks.
 func (p *places) count(add func(*askCounts)) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	add(&p.asked)
 }
 
-// ask asks one keeper, waits for its verdict and counts it.
+// ask asks one keeper, waits for its verdict and counts the result.
 func (p *places) ask(current *request, toKeeper *placeLink, queue uint32) placeAnswer {
 	began := time.Now()
 	answer := p.askKeeper(current, toKeeper, queue)
@@ -315,12 +314,12 @@
 	}
 }
 
-// told keeps what a keeper said of a queue.
+// told records the wait that a keeper reported for a queue.
 func (p *places) told(queue uint32, wait time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if len(p.waits) >= mostWaits {
-		// Most are of instances that left.
+		// Most entries belong to instances that are gone.
 		clear(p.waits)
 	}
 	p.waits[queue] = toldWait{at: p.clock.Now(), wait: wait}
--- a/internal/gateway/places_test.go
+++ b/internal/gateway/places_test.go
@@ -22,7 +22,7 @@
 	"github.com/thorntiller/thorntiller/internal/wire"
 )
 
-// placeTable is a table with one service of one server, and one keeper.
+// placeTable returns a table with one service, one server and one keeper.
 func placeTable(t *testing.T, keeper string) *routing.Table {
 	t.Helper()
 	view := directory.New()
@@ -42,7 +42,7 @@
 	return routing.Build(view, nil)
 }
 
-// placeRequest is a request for that service.
+// placeRequest returns a request for that service.
 func placeRequest(left time.Duration) *request {
 	now := testClock.Now()
 	return &request{
@@ -61,7 +61,8 @@
 
 func everyInstance(directory.Instance) bool { return true }
 
-// startKeeper serves a gateway that keeps the server, and returns its address and how to stop it.
+// startKeeper starts a gateway that is the keeper of the server, and returns its address and a function that
+// stops it.
 func startKeeper(t *testing.T, address string) (*places, string, context.CancelFunc) {
 	t.Helper()
 	listener, err := net.Listen("tcp", address)
@@ -93,7 +94,7 @@
 	return startAskerBy(t, keeper, nil)
 }
 
-// startAskerBy is startAsker with a way to open connections; nil for plain TCP.
+// startAskerBy is like startAsker with a function that opens connections; nil for plain TCP.
 func startAskerBy(t *testing.T, keeper string, dial wire.DialFunc) *places {
 	t.Helper()
 	asking := newPlaces(testClock, placeSettings("127.0.0.1:1"), quiet(), newPlaceKeeper(testClock, everyInstance), &link.Meter{})
@@ -113,11 +114,11 @@
 	return asking
 }
 
-// placeTime is longer than a test waits for anything, so that no wait ends by itself.
+// placeTime is longer than any wait in the tests, so that no wait expires.
 const placeTime = 100 * time.Second
 
-// TestGatewaysShareAServer: two gateways together get as many places as one server has; the
-// next request waits until one of them is given back, and hears of it.
+// TestGatewaysShareAServer checks that two gateways together get as many places as one server has. The next
+// request waits until a place is returned and is then granted it.
 func TestGatewaysShareAServer(t *testing.T) {
 	keeping, address, _ := startKeeper(t, "127.0.0.1:0")
 	asking := startAsker(t, address)
@@ -134,7 +135,7 @@
 	select {
 	case answer := <-third:
 		t.Fatalf("got %+v though the server is full", answer)
-	case <-time.After(3 * queuedSilence / 2): // longer than a silent keeper is waited for
+	case <-time.After(3 * queuedSilence / 2): // longer than the wait for a silent keeper
 	}
 	held[0].end(room.Answered, 5*time.Millisecond)
 	if answer := <-third; answer.verdict != room.Granted {
@@ -143,11 +144,12 @@
 	hurried := placeRequest(placeTime)
 	hurried.arrived -= placeTime
 	if answer := asking.ofService(hurried); answer.verdict != room.Rejected {
-		t.Errorf("got %+v for a request that cannot be in time", answer)
+		t.Errorf("got %+v for a request that cannot be answered in time", answer)
 	}
 }
 
-// TestCallerThatLeavesEndsItsWait, and its gateway takes no place for it.
+// TestCallerThatLeavesEndsItsWait checks that the wait of a request ends when its caller disconnects, and that
+// the gateway keeps no place for it.
 func TestCallerThatLeavesEndsItsWait(t *testing.T) {
 	keeping, address, _ := startKeeper(t, "127.0.0.1:0")
 	asking := startAsker(t, address)
@@ -164,22 +166,22 @@
 	})
 	leaving.interrupt.Fire()
 	if answer := <-ended; answer.verdict != room.Rejected {
-		t.Errorf("got %+v for a caller that left", answer)
+		t.Errorf("got %+v for a caller that disconnected", answer)
 	}
 	held := 0
-	eventually(t, "nobody waits with the keeper", func() bool {
+	eventually(t, "no request waits at the keeper", func() bool {
 		keeping.keeper.mutex.Lock()
 		defer keeping.keeper.mutex.Unlock()
 		held = keeping.keeper.core.Held()
 		return keeping.keeper.core.Waiting() == 0
 	})
 	if held != 2 {
-		t.Errorf("%d places are held, want those of the two requests that stay", held)
+		t.Errorf("%d places are held, want those of the two remaining requests", held)
 	}
 }
 
-// TestGatewayGoesOnWithoutItsKeeper: while a request waits and its keeper ends, the gateway is
-// to choose by its own counts at once; it asks again once there is a keeper.
+// TestGatewayGoesOnWithoutItsKeeper checks that a gateway whose keeper ends while a request waits chooses by
+// its own counts at once, and asks again once there is a keeper.
 func TestGatewayGoesOnWithoutItsKeeper(t *testing.T) {
 	_, address, stop := startKeeper(t, "127.0.0.9:0")
 	asking := startAsker(t, address)
@@ -199,14 +201,14 @@
 	}
 	startKeeper(t, address)
 	table := placeTable(t, address)
-	eventually(t, "the new keeper gives places", func() bool {
+	eventually(t, "the new keeper grants places", func() bool {
 		asking.note(table)
 		return asking.ofService(placeRequest(placeTime)).verdict == room.Granted
 	})
 }
 
-// TestSilentKeeperIsNotWaitedFor: one that is frozen takes connections and says nothing. The
-// first request waits for it for firstAnswer, the next ones not at all.
+// TestSilentKeeperIsNotWaitedFor guards against waits for a frozen keeper, which accepts connections and does
+// not answer: the first request waits for firstAnswer, the next ones not at all.
 func TestSilentKeeperIsNotWaitedFor(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -223,7 +225,7 @@
 	})
 	asking := startAsker(t, listener.Addr().String())
 	if answer := asking.ofService(placeRequest(placeTime)); answer.verdict != room.Unknown {
-		t.Errorf("got %+v from a keeper that says nothing", answer)
+		t.Errorf("got %+v from a keeper that does not answer", answer)
 	}
 	began := time.Now()
 	if answer := asking.ofService(placeRequest(placeTime)); answer.verdict != room.Unknown || time.Since(began) >= firstAnswer {
@@ -231,13 +233,13 @@
 	}
 }
 
-// halfCut is a connection of which one direction may be cut off in silence.
+// halfCut is a connection of which either direction can be cut without an error.
 type halfCut struct {
 	net.Conn
 	deaf, mute *atomic.Bool
 }
 
-// Read implements net.Conn: what comes while the connection is deaf is lost.
+// Read implements net.Conn. It discards incoming data while the connection is deaf.
 func (c *halfCut) Read(into []byte) (int, error) {
 	for {
 		read, err := c.Conn.Read(into)
@@ -247,7 +249,7 @@
 	}
 }
 
-// Write implements net.Conn: what goes while it is mute is lost.
+// Write implements net.Conn. It discards outgoing data while the connection is mute.
 func (c *halfCut) Write(data []byte) (int, error) {
 	if c.mute.Load() {
 		return len(data), nil
@@ -255,9 +257,9 @@
 	return c.Conn.Write(data)
 }
 
-// TestOneWayCutToTheKeeper: a gateway that does not hear its keeper, or that the keeper does not
-// hear, goes by its own counts; the places that it was given end by themselves, so that others get
-// them; once the cut has healed it is given places again.
+// TestOneWayCutToTheKeeper checks that a gateway chooses by its own counts if messages to or from its keeper
+// are lost. Its places expire, so that other gateways get them, and it is granted places again once the
+// connection works.
 func TestOneWayCutToTheKeeper(t *testing.T) {
 	for _, direction := range []string{"deaf", "mute"} {
 		t.Run(direction, func(t *testing.T) {
@@ -274,9 +276,9 @@
 			}
 			cut.Store(true)
 			if answer := asking.ofService(placeRequest(deadline)); answer.verdict != room.Unknown {
-				t.Errorf("got %+v behind the cut", answer)
+				t.Errorf("got %+v after the cut", answer)
 			}
-			eventually(t, "the places given before and behind the cut have ended", func() bool {
+			eventually(t, "the places granted before and after the cut have expired", func() bool {
 				keeping.keeper.mutex.Lock()
 				defer keeping.keeper.mutex.Unlock()
 				return keeping.keeper.core.Held() == 0
@@ -286,7 +288,7 @@
 			}
 			cut.Store(false)
 			table := placeTable(t, address)
-			eventually(t, "places are given again", func() bool {
+			eventually(t, "places are granted again", func() bool {
 				asking.note(table)
 				return asking.ofService(placeRequest(deadline)).verdict == room.Granted
 			})
@@ -294,13 +296,13 @@
 	}
 }
 
-// TestKeeperAndAskerStartAnew: after a loss of all power with places given out nothing is known of
-// them, and the server is filled twice at most until their requests have ended.
+// TestKeeperAndAskerStartAnew checks a power failure while places are granted: afterwards nothing is known of
+// them, and the server is filled at most twice until their requests have ended.
 func TestKeeperAndAskerStartAnew(t *testing.T) {
 	_, address, stop := startKeeper(t, "127.0.0.10:0")
 	for asked, before := 0, startAsker(t, address); asked < 2; asked++ {
 		if answer := before.ofService(placeRequest(placeTime)); answer.verdict != room.Granted {
-			t.Fatalf("got %+v before the loss", answer)
+			t.Fatalf("got %+v before the power failure", answer)
 		}
 	}
 	stop()
@@ -313,12 +315,12 @@
 		}
 	}
 	if granted != 2 {
-		t.Errorf("%d places of a server whose keeper knows nothing of earlier ones, want its 2", granted)
+		t.Errorf("%d places granted by a keeper without state, want the 2 of the server", granted)
 	}
 	hurried := placeRequest(placeTime)
 	hurried.arrived -= placeTime
 	if answer := after.ofService(hurried); answer.verdict != room.Rejected {
-		t.Errorf("got %+v beyond its places", answer)
+		t.Errorf("got %+v for a request beyond the places of the server", answer)
 	}
 	keeping.keeper.mutex.Lock()
 	defer keeping.keeper.mutex.Unlock()
@@ -327,7 +329,7 @@
 	}
 }
 
-// TestKeeperTakesBadMessages: numbers, outcomes and queues that nobody gave change nothing.
+// TestKeeperTakesBadMessages checks that unknown numbers, outcomes and queues in messages have no effect.
 func TestKeeperTakesBadMessages(t *testing.T) {
 	keeper := newPlaceKeeper(clock.NewSystem(), everyInstance)
 	table := placeTable(t, "127.0.0.1:1")
@@ -340,13 +342,13 @@
 		Ends: []message.PlaceEnd{{Number: 99, Outcome: 200, TookMs: 1<<32 - 1}},
 	})
 	if len(answers) != 1 || room.Verdict(answers[0].Verdict) != room.Unknown {
-		t.Errorf("answers %+v, want one that knows no such queue", answers)
+		t.Errorf("answers %+v, want the verdict Unknown", answers)
 	}
 	keeper.leave(asker)
 	keeper.take("nobody#1", message.PlaceRequest{Ends: []message.PlaceEnd{{Number: 1}}})
 }
 
-// TestFormerKeepersAreLeft: connections to gateways that are keepers no longer end.
+// TestFormerKeepersAreLeft checks that connections to gateways that are no longer keepers are closed.
 func TestFormerKeepersAreLeft(t *testing.T) {
 	keeping, address, _ := startKeeper(t, "127.0.0.1:0")
 	asking := startAsker(t, address)
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -13,7 +13,7 @@
 	"github.com/thorntiller/thorntiller/internal/routing"
 )
 
-// noteEnded tells of the instances that ended, by a new table.
+// noteEnded reports the instances that ended according to a new table to the crash watch.
 func (g *Gateway) noteEnded(table *routing.Table) {
 	g.crashes.Check(func(id directory.InstanceID) bool {
 		return slices.ContainsFunc(table.Changed, func(changed *directory.Instance) bool { return changed.ID == id && changed.Ended })
@@ -28,16 +28,16 @@
 	return nil
 }
 
-// noteAnswered takes that an instance answered a request. Its own failure may be the end of the
-// request's time, and says nothing.
+// noteAnswered records that an instance answered a request. A status of 500 or above is ignored: it may only
+// mean that the request's time ran out.
 func (g *Gateway) noteAnswered(current *request) {
 	if current.answer.StatusCode() < fasthttp.StatusInternalServerError {
 		g.guard.Answered(&current.suspicion)
 	}
 }
 
-// noteLoss takes an attempt that may have ended with its instance. An instance that leaves may end
-// at any time, whatever it runs.
+// noteLoss records an attempt that may have ended with a crash of its instance. Instances that are leaving are
+// ignored: they may end at any time, whatever they run.
 func (g *Gateway) noteLoss(current *request, instance directory.Instance, took time.Duration, failure *fault.Error) {
 	connectionEnded := false
 	switch failure.Kind {
@@ -56,7 +56,7 @@
 	})
 }
 
-// identify returns what makes the request the same as another one.
+// identify returns the properties by which repetitions of a request are recognised.
 func (g *Gateway) identify(current *request) quarantine.Request {
 	header := &current.inbound.Header
 	return quarantine.Request{
@@ -65,8 +65,7 @@
 	}
 }
 
-// callerOf tells the caller of a request from others: by its tenant, by the credential that it
-// shows, or by its IP address.
+// callerOf identifies the caller of a request: by its tenant, by its credential, or by its IP address.
 func callerOf(current *request) string {
 	if current.tenant != nil {
 		return "tenant " + current.tenant.Name
--- a/internal/gateway/quotas.go
+++ b/internal/gateway/quotas.go
@@ -5,7 +5,7 @@
 	"github.com/thorntiller/thorntiller/internal/quota"
 )
 
-// takeQuota takes a token of the request's tenant, or returns that there is none.
+// takeQuota takes a token of the request's tenant, or returns an error if there is none.
 func (g *Gateway) takeQuota(current *request) error {
 	if current.tenant == nil || !current.tenant.Limited() {
 		return nil
@@ -24,7 +24,7 @@
 	return fault.Newf(fault.QuotaExceeded, "tenant %.64q has used up its %g requests a second", tenant.Name, tenant.Limit.Rate)
 }
 
-// returnQuota gives the token of a request back that has not run.
+// returnQuota refunds the token of a request that did not run.
 func (g *Gateway) returnQuota(current *request, err error) {
 	if err == nil || !current.quotaTaken || fault.AnswerFor(asFault(err).Kind).Outcome != fault.NotRun {
 		return
--- a/internal/gateway/race.go
+++ b/internal/gateway/race.go
@@ -14,27 +14,25 @@
 	"github.com/thorntiller/thorntiller/internal/wire"
 )
 
-// While a gateway has no stream of the directory it asks several controllers at a time.
-// After a loss of power machines come back one by one, and one that is still down says
-// nothing: waiting for it to time out before the next is asked costs the callers more
-// than a second connection does. Once a controller has accepted the connection the others
-// wait: a whole directory is long for a narrow link, and is not sent twice.
+// While a gateway has no directory stream, it connects to several controllers, each a short time after the
+// previous one. After a power failure machines come back one by one, and a machine that is still down does not
+// answer: waiting for it to time out costs the callers more than a second connection does. Once a controller
+// has accepted a connection, no further one is asked for a while: a whole directory takes long on a narrow
+// link and should not be sent twice.
 
 const (
-	// raceStagger is the time after which the next controller is asked as well, some
-	// ten times what a connection within a region takes.
+	// raceStagger is the delay before the next controller is asked as well, about ten times the time to
+	// connect within a region.
 	raceStagger = 50 * time.Millisecond
-	// connectedPatience is how long a controller that accepted the connection may take to
-	// send the beginning of the directory before the next is asked as well, and
-	// transferPatience how long until it is whole: that of some hundred instances takes
-	// half of it on 2 Mbit/s.
+	// connectedPatience is how long a controller that accepted the connection may take to send the beginning
+	// of the directory before the next controller is asked as well. transferPatience is the same bound for the
+	// whole directory: that of several hundred instances takes half of it at 2 Mbit/s.
 	connectedPatience = 100 * time.Millisecond
 	transferPatience  = 800 * time.Millisecond
-	// directoryBegun is what a controller has sent once the directory is on its way; the
-	// names of the controllers, which it sends in any case, are shorter.
+	// directoryBegun is the number of received bytes from which on the transfer of the directory has begun;
+	// the list of controllers, which is always sent, is shorter.
 	directoryBegun = 1500
-	// raceRounds is how often each controller is asked before the settings are read
-	// again.
+	// raceRounds is how often each controller is asked before the settings are reloaded.
 	raceRounds = 3
 )
 
@@ -43,17 +41,17 @@
 	mutex      sync.Mutex
 	candidates map[*candidate]struct{}
 	winner     *candidate
-	// abandoned is true once the search was given up without a winner.
+	// abandoned is true once the search ended without a winner.
 	abandoned bool
 }
 
-// candidate is one controller that is being asked, over one connection.
+// candidate is a controller that is being asked over one connection.
 type candidate struct {
 	address string
 	// cancel ends its stream.
 	cancel  context.CancelFunc
 	askedAt time.Time
-	// connection is the one that it accepted, at connectedAt; nil before.
+	// connection is the accepted connection, since connectedAt; nil before.
 	connection  *wire.Conn
 	connectedAt time.Time
 }
@@ -62,8 +60,8 @@
 
 var errOtherController = eris.New("another controller answered first")
 
-// claim makes the first caller the winner, and ends the streams of the others. It
-// reports whether the caller has won.
+// claim makes the first candidate that calls it the winner and ends the streams of the others. It reports
+// whether the calling candidate is the winner.
 func (r *race) claim(claiming *candidate) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -78,14 +76,13 @@
 	return r.winner == claiming
 }
 
-// redialAfter is how long a controller may take to accept a connection before it is
-// dialed once more beside the first attempt. The opening packet to a machine that has no
-// power yet is lost, and is sent again after a second only. A dial within a region takes
-// a few milliseconds; a longer one is left to end by itself.
+// redialAfter is how long a controller may take to accept a connection before a second attempt is made beside
+// the first. The SYN to a machine that is not powered on yet is lost and retransmitted only after a second.
+// Connecting within a region takes a few milliseconds; a slower attempt is left to end by itself.
 const redialAfter = 100 * time.Millisecond
 
-// enter adds a candidate. It returns nil for a controller that is being asked already,
-// and once there is a winner.
+// enter adds a candidate. It returns nil for a controller that is already being asked, and once the search has
+// ended.
 func (r *race) enter(address string, cancel context.CancelFunc) *candidate {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -118,8 +115,8 @@
 	delete(r.candidates, leaving)
 }
 
-// connected notes that a candidate accepted the connection. It reports false if another
-// connection to the same controller was accepted before.
+// connected records that a candidate accepted the connection. It returns false if another connection to the
+// same controller was accepted before.
 func (r *race) connected(accepted *candidate, connection *wire.Conn) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -133,8 +130,8 @@
 	return true
 }
 
-// mayAskNext reports whether the next candidate is to be asked: nobody has accepted a
-// connection, or those who have take too long since.
+// mayAskNext reports whether the next candidate is to be asked: no candidate has accepted a connection, or
+// those that have are taking too long.
 func (r *race) mayAskNext() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -146,8 +143,7 @@
 	return r.winner == nil && !r.abandoned
 }
 
-// patience is how long a candidate that accepted the connection may take before the next
-// one is asked.
+// patience returns how long a candidate that accepted the connection may take before the next one is asked.
 func (c *candidate) patience() time.Duration {
 	if c.connection.BytesReceived() >= directoryBegun {
 		return transferPatience
@@ -155,15 +151,15 @@
 	return connectedPatience
 }
 
-// over reports whether there is a winner, or will be none.
+// over reports whether the search has ended, with or without a winner.
 func (r *race) over() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.winner != nil || r.abandoned
 }
 
-// followFirst asks the candidates in turn, and takes the stream of the first that
-// confirms the directory until it breaks.
+// followFirst asks the candidates in turn, and follows the stream of the first that confirms the directory
+// until it breaks.
 func (s *subscription) followFirst(ctx context.Context, candidates []string) {
 	contest := newRace()
 	var group conc.WaitGroup
@@ -180,7 +176,7 @@
 	}
 }
 
-// ask follows one candidate in the background, unless it is being asked already.
+// ask follows one candidate in the background, unless it is already being asked.
 func (s *subscription) ask(ctx context.Context, contest *race, address string, group *conc.WaitGroup) {
 	ctx, cancel := context.WithCancel(ctx)
 	asked := contest.enter(address, cancel)
@@ -199,7 +195,7 @@
 			WithField("table_age_ms", s.age().Milliseconds())
 		if errors.Is(err, errGoesHome) {
 			contest.abandon()
-			line.Info("directory stream left for that of another controller")
+			line.Info("switching the directory stream to the home controller")
 			return
 		}
 		line.Warn("directory stream broke")
--- a/internal/gateway/race_test.go
+++ b/internal/gateway/race_test.go
@@ -14,9 +14,9 @@
 	"github.com/thorntiller/thorntiller/internal/wire"
 )
 
-// TestSilentControllerDoesNotDelayTheDirectory: of two controllers one accepts connections
-// and says nothing, as a machine that has just lost power or is cut off. Gateways waited
-// for it to time out before they asked the next one.
+// TestSilentControllerDoesNotDelayTheDirectory guards against a gateway that waits for a controller to time
+// out before it asks the next one. One of two controllers accepts connections and does not answer, as a
+// machine that has just lost power or is cut off.
 func TestSilentControllerDoesNotDelayTheDirectory(t *testing.T) {
 	silent, answering := startStub(t), startStub(t)
 	silent.silent.Store(true)
@@ -28,8 +28,8 @@
 	}
 }
 
-// TestOneStreamRemains: of several controllers that answer, one serves the directory, and
-// its stream lasts. The end of the search ended the stream of the one that was found.
+// TestOneStreamRemains guards against a search whose end also ends the stream that it found: of several
+// controllers that answer, one serves the directory, and its stream lasts.
 func TestOneStreamRemains(t *testing.T) {
 	stubs := []*stubController{startStub(t), startStub(t), startStub(t)}
 	s := startSubscription(t, stubs[0].address, stubs[1].address, stubs[2].address)
@@ -52,8 +52,8 @@
 	}
 }
 
-// TestRequestWaitsForTheFirstDirectory: for a moment, and no longer than a share of the
-// caller's time.
+// TestRequestWaitsForTheFirstDirectory checks that a request waits for the first directory, but for no longer
+// than a share of the caller's timeout.
 func TestRequestWaitsForTheFirstDirectory(t *testing.T) {
 	settings := config.DefaultGateway()
 	settings.Name, settings.Seeds = "g", []string{"127.0.0.1:1"}
@@ -68,7 +68,7 @@
 		return context
 	}
 	if table := gateway.awaitTable(call("100")); table != nil {
-		t.Error("a table came from nowhere")
+		t.Error("got a table although there is no directory")
 	}
 	controller := startStub(t)
 	gateway.subscription.controllers = []string{controller.address}
@@ -78,9 +78,9 @@
 	}
 }
 
-// TestControllerIsDialedAgain: one that has not accepted a connection for a while is dialed
-// once more, since the first packet to a machine without power is lost; one that has
-// accepted is not, and one stream wins, whichever connection it uses.
+// TestControllerIsDialedAgain checks that a controller that has not accepted a connection for a while is
+// dialed once more, since the first packet to a machine without power is lost. A controller that has accepted
+// one is not, and one stream wins, whichever connection it uses.
 func TestControllerIsDialedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		contest := newRace()
--- a/internal/gateway/regions.go
+++ b/internal/gateway/regions.go
@@ -23,7 +23,7 @@
 	return made
 }
 
-// mayServeHere reports whether route and tenant allow the region of an instance.
+// mayServeHere reports whether the route and the tenant allow the region of an instance.
 func (g *Gateway) mayServeHere(current *request, instance directory.Instance) bool {
 	region := g.regions[instance.Zone]
 	if !allowsRegion(current.route.AllowedRegions, region) {
@@ -32,13 +32,13 @@
 	return current.tenant == nil || allowsRegion(current.tenant.AllowedRegions, region)
 }
 
-// regionBound reports whether some regions may not serve the request. Places of a service are
-// given out whatever the region, so that such a request is sent without one.
+// regionBound reports whether the request is restricted to some regions. Such a request is sent without a
+// place, since places of a service are granted regardless of the region.
 func (r *request) regionBound() bool {
 	return len(r.route.AllowedRegions) > 0 || r.tenant != nil && len(r.tenant.AllowedRegions) > 0
 }
 
-// allowsRegion reports whether a region is among those allowed; none named allows all.
+// allowsRegion reports whether a region is among the allowed ones; an empty list allows all.
 func allowsRegion(allowed []string, region string) bool {
 	return len(allowed) == 0 || slices.Contains(allowed, region)
 }
--- a/internal/gateway/regions_test.go
+++ b/internal/gateway/regions_test.go
@@ -8,8 +8,8 @@
 	"github.com/thorntiller/thorntiller/internal/directory"
 )
 
-// TestAllowedRegionsBindRouteAndTenant: both must allow the region of an instance; one in a zone
-// of no known region is allowed only where nothing is bound.
+// TestAllowedRegionsBindRouteAndTenant checks that both the route and the tenant must allow the region of an
+// instance. An instance in a zone without a known region is allowed only if neither is restricted.
 func TestAllowedRegionsBindRouteAndTenant(t *testing.T) {
 	settings := config.DefaultGateway()
 	settings.Regions = []config.ZoneRegion{{Zone: "a1", Region: "a"}, {Zone: "b1", Region: "b"}}
--- a/internal/gateway/rejections.go
+++ b/internal/gateway/rejections.go
@@ -8,37 +8,36 @@
 	"github.com/thorntiller/thorntiller/internal/directory"
 )
 
-// rejectionPause is how long a holder that refused a key is not asked again, unless the
-// layout changes before.
+// rejectionPause is how long a holder that rejected a key is not asked again, unless the layout changes
+// earlier.
 const rejectionPause = 250 * time.Millisecond
 
-// rejections remembers which holders rejected a key that the layout gives them: a change
-// is on its way, or their lease has ended. Each further request for those keys would
-// only be rejected, and counts as an arrival at the service. One that rejects keys of
-// several ranges has most likely lost all. It is safe for concurrent use.
+// rejections records which holders rejected a key that the layout assigns to them: a change is on its way, or
+// their lease has ended. Further requests for those keys would only be rejected as well, and count as arrivals
+// at the service. A holder that rejects keys of several ranges has most likely lost all of them. It is safe
+// for concurrent use.
 type rejections struct {
 	clock clock.Clock
 	mutex sync.Mutex
 	noted map[directory.InstanceID]rejectedRanges
 }
 
-// rejectedRanges is what one holder rejected under a revision of the layout.
+// rejectedRanges has the ranges that one holder rejected under a revision of the layout.
 type rejectedRanges struct {
 	revision directory.Revision
-	// until is when each range may be asked for again, by its first key: readings of the clock.
+	// until is when each range may be asked for again, by its first key, in readings of the clock.
 	until map[directory.Key]time.Duration
 }
 
-// rejectionsOfAll is the number of ranges from which on all keys of a holder are taken for
-// lost.
+// rejectionsOfAll is the number of rejected ranges from which on a holder is taken to have lost all of its
+// keys.
 const rejectionsOfAll = 3
 
 func newRejections(system clock.Clock) *rejections {
 	return &rejections{clock: system, noted: make(map[directory.InstanceID]rejectedRanges)}
 }
 
-// note takes a rejection by a holder, of a key in the range that begins at first, under
-// a revision of the layout.
+// note records that a holder rejected a key in the range that begins at first, under a revision of the layout.
 func (r *rejections) note(id directory.InstanceID, first directory.Key, revision directory.Revision) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -50,8 +49,7 @@
 	known.until[first] = r.clock.Now() + rejectionPause
 }
 
-// mayAsk reports whether a holder may be asked for a range under a revision of the
-// layout.
+// mayAsk reports whether a request for a range may be sent to its holder under a revision of the layout.
 func (r *rejections) mayAsk(id directory.InstanceID, first directory.Key, revision directory.Revision) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -20,82 +20,80 @@
 	"github.com/thorntiller/thorntiller/internal/routing"
 )
 
-// request is one caller's request on its way through the gateway.
+// request is one caller's request while the gateway processes it.
 type request struct {
 	id      string
 	inbound *fasthttp.Request
 	answer  *fasthttp.Response
-	// remote is the address that the caller connected from.
+	// remote is the address of the caller.
 	remote net.Addr
-	// clock is that of the gateway, by which arrived and deadline are.
+	// clock is the gateway's clock, whose readings arrived and deadline are.
 	clock   clock.Clock
 	arrived time.Duration
-	// deadline is when the request is given up: the caller's own, or earlier by the
+	// deadline is when the request is abandoned: the deadline of the caller, or an earlier one from the
 	// route's timeout.
 	deadline time.Duration
 	route    *directory.Route
 	service  string
-	// keyRequired is true if callers must show an API key, and tenant is whose key it is;
-	// nil for none.
+	// keyRequired is true if callers must present an API key. tenant is the owner of that key; nil for none.
 	keyRequired bool
 	tenant      *directory.Tenant
 	keyed       bool
 	key         directory.Key
-	// rangeFirst is the first key of the range that holds the key, under
-	// layoutRevision, when the holder was last chosen.
+	// rangeFirst is the first key of the range that contains the key, under layoutRevision, as of the last
+	// choice of the holder.
 	rangeFirst     directory.Key
 	layoutRevision directory.Revision
 	// attempts lists the instances that the request was sent to.
 	attempts []directory.InstanceID
-	// outcomes tell what became of each sending, for the log.
+	// outcomes has the result of each attempt, for the log.
 	outcomes []attemptOutcome
-	// candidates are the instances that a refused request could not be sent to, with
-	// their loads, for the log.
+	// candidates has the instances that had no capacity for a rejected request, with their loads, for the log.
 	candidates []balance.InstanceLoad
-	// urgency is the rank of its route's priority, from 0 for the least urgent to 1.
+	// urgency is the rank of the route's priority, from 0 for the least urgent to 1.
 	urgency float64
-	// reserved is the room that was reserved on the own link, in bytes.
+	// reserved is the number of bytes reserved on this machine's link.
 	reserved float64
-	// withdrawn is true if the newest attempt was not sent, see maySendNow.
+	// withdrawn is true if the latest attempt was not sent, see maySendNow.
 	withdrawn bool
-	// asked is true once a keeper was asked for a place, and place is the one that it gave.
+	// asked is true once a keeper was asked for a place, and place is the place that it granted.
 	asked bool
 	place *heldPlace
-	// noRoom is true if there is no place in time, and retryIn when there is one again.
+	// noRoom is true if no place is available in time, and retryIn is the expected time until there is
+	// capacity.
 	noRoom  bool
 	retryIn time.Duration
-	// rejectedWithRoom is true if the instance that rejected the request last should have had
-	// room for it.
+	// rejectedWithRoom is true if the instance that rejected the request last should have had capacity for it.
 	rejectedWithRoom bool
 	// quotaTaken is true once a token of the tenant was taken.
 	quotaTaken bool
-	// tokenOf is the instance whose token the request has; empty for none.
+	// tokenOf is the instance whose token the request holds; empty for none.
 	tokenOf directory.InstanceID
-	// limitedAt are the instances whose limits had no room for the request, and limited is the
-	// last failure for that; nil for none.
+	// limitedAt has the instances whose rate limits had no capacity for the request, and limited is the last
+	// failure for that reason; nil for none.
 	limitedAt []directory.InstanceID
 	limited   *fault.Error
 	// resting is the failure for the instance whose rest ends first; nil for none.
 	resting *fault.Error
-	// interrupt gives the attempt up when the caller leaves.
+	// interrupt aborts the attempt when the caller disconnects.
 	interrupt *forward.Interrupt
-	// suspicion is what is known of the request as one under which instances crash.
+	// suspicion is the state of the request with regard to crashes of instances.
 	suspicion crashwatch.Request
-	// revision is that of the table by which the request was routed.
+	// revision is that of the table with which the request was routed.
 	revision directory.Revision
 }
 
-// attemptOutcome is what became of one sending.
+// attemptOutcome is the result of one attempt.
 type attemptOutcome struct {
 	Instance directory.InstanceID `json:"instance"`
-	// AfterMs is when it was sent, counted from the request's arrival.
+	// AfterMs is when the attempt began, relative to the arrival of the request.
 	AfterMs int64 `json:"after_ms"`
 	TookMs  int64 `json:"took_ms"`
-	// Kind is empty for an answer that was passed on.
+	// Kind is empty for an answer that was forwarded.
 	Kind fault.Kind `json:"kind,omitempty"`
 }
 
-// readRequest takes what the request says and finds its route.
+// readRequest parses the request and finds its route.
 func (g *Gateway) readRequest(context *fasthttp.RequestCtx, table *routing.Table) (*request, error) {
 	now := g.clock.Now()
 	read := &request{
@@ -132,7 +130,7 @@
 	return read, read.readKey(g.dialect.Key, service.Config)
 }
 
-// bound brings the deadline forward to a time after the arrival.
+// bound limits the deadline to a timeout after the arrival.
 func (r *request) bound(timeout time.Duration) {
 	r.deadline = min(r.deadline, r.arrived+timeout)
 }
@@ -175,18 +173,17 @@
 	return count
 }
 
-// left is the time until the request is given up.
+// left returns the time until the deadline.
 func (r *request) left() time.Duration { return r.deadline - r.clock.Now() }
 
 func (r *request) repeatable() bool { return r.route.Kind.MayRepeat() }
 
-// target is the time within which an answer is of full use.
+// target returns the latency target of the route, within which an answer is of full use.
 func (r *request) target() time.Duration {
 	return time.Duration(r.route.TargetLatencyMs * float64(time.Millisecond))
 }
 
-// fill makes the HTTP request of one attempt. Method, path, query and body stay as
-// the caller sent them.
+// fill builds the HTTP request of one attempt. Method, path, query and body stay as the caller sent them.
 func (r *request) fill(outgoing *fasthttp.Request, dialect Dialect, instance directory.Instance) {
 	r.inbound.Header.CopyTo(&outgoing.Header)
 	for name := range strings.SplitSeq(string(r.inbound.Header.Peek(fasthttp.HeaderConnection)), ",") {
--- a/internal/gateway/resting.go
+++ b/internal/gateway/resting.go
@@ -8,8 +8,8 @@
 	"github.com/valyala/fasthttp"
 )
 
-// restingConnections are the callers' connections on which no request is being served. It is safe
-// for concurrent use.
+// restingConnections has the callers' connections on which no request is being served. It is safe for
+// concurrent use.
 type restingConnections struct {
 	mutex sync.Mutex
 	all   map[net.Conn]struct{}
@@ -19,7 +19,7 @@
 	return &restingConnections{all: make(map[net.Conn]struct{})}
 }
 
-// note takes a change of a connection's state.
+// note applies a state change of a connection.
 func (r *restingConnections) note(connection net.Conn, change fasthttp.ConnState) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -31,7 +31,7 @@
 	}
 }
 
-// unread reports whether bytes of a request have come on a resting connection and wait to be read.
+// unread reports whether an idle connection has unread bytes of a request.
 func (r *restingConnections) unread() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/gateway/sendcheck.go
+++ b/internal/gateway/sendcheck.go
@@ -5,8 +5,8 @@
 	"github.com/thorntiller/thorntiller/internal/fault"
 )
 
-// maySendNow returns why a request must not go to the chosen instance any more, right before its
-// first byte is written; nil if it may. The wait for a connection or for a turn on the own link may
+// maySendNow returns why a request may no longer be sent to the chosen instance; nil if it may. It is called
+// just before the first byte is written: the wait for a connection or for a turn on this machine's link may
 // have been long, and the machine may have been suspended since the choice.
 func (g *Gateway) maySendNow(current *request, instance directory.Instance) *fault.Error {
 	current.withdrawn = true
@@ -20,7 +20,7 @@
 	return fault.Newf(fault.NoOwner, "instance %s may not get the request any more", instance.ID)
 }
 
-// maySendTo reports whether an instance that was chosen may still get a request.
+// maySendTo reports whether an instance that was chosen may still get the request.
 func (g *Gateway) maySendTo(current *request, chosen directory.Instance) bool {
 	service, found := g.subscription.current().Service(current.service)
 	if !found {
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -44,8 +44,8 @@
 	g.observe(current, failure)
 }
 
-// executeWatched executes the request and gives it up when its caller leaves. A request that this
-// gateway may not live to answer is rejected.
+// executeWatched executes the request and aborts it when its caller disconnects. A request that this gateway
+// may not be able to answer before it stops is rejected.
 func (g *Gateway) executeWatched(context *fasthttp.RequestCtx, current *request) error {
 	if err := g.rejectBeforeStop(current); err != nil {
 		return err
@@ -54,7 +54,7 @@
 	return g.executeAdmitted(current)
 }
 
-// executeAdmitted executes the request if the own link has room for it.
+// executeAdmitted executes the request if this machine's link has capacity for it.
 func (g *Gateway) executeAdmitted(current *request) error {
 	if err := g.admit(current); err != nil {
 		return err
@@ -71,12 +71,12 @@
 	return err
 }
 
-// tableWait is the share of a caller's time for which its request waits for the first
-// directory: a request that is refused after more of it counts as held without success.
+// tableWait is the share of the caller's timeout for which a request waits for the first directory: a request
+// that is refused later than that counts as held without success.
 const tableWait = 0.08
 
-// awaitTable returns the table. A gateway that has just started waits for it for a
-// moment, since all others may have just started as well.
+// awaitTable returns the table. A gateway that has just started waits a short time for it, since all other
+// gateways may have just started as well.
 func (g *Gateway) awaitTable(context *fasthttp.RequestCtx) *routing.Table {
 	changed := g.subscription.updates.Next()
 	if table := g.subscription.current(); table != nil {
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -10,13 +10,13 @@
 	"github.com/thorntiller/thorntiller/internal/telemetry"
 )
 
-// Limits that hold until the operator's are known.
+// Limits until the operator's are known.
 const (
 	defaultHeaderBytes   = 16 << 10
 	defaultBodyBytes     = 64 << 20
 	defaultHeaderTimeout = 5 * time.Second
 	defaultIdleTimeout   = 30 * time.Second
-	// bodyTimeout bounds the time for the body of a request.
+	// bodyTimeout is the timeout for the body of a request.
 	bodyTimeout = time.Minute
 	writeTime   = 30 * time.Second
 )
@@ -43,7 +43,7 @@
 	}
 }
 
-// requestConfig applies the operator's limits to a request whose header came.
+// requestConfig applies the operator's limits to a request whose header was received.
 func (g *Gateway) requestConfig(*fasthttp.RequestHeader) fasthttp.RequestConfig {
 	limited := fasthttp.RequestConfig{ReadTimeout: bodyTimeout, WriteTimeout: writeTime, MaxRequestBodySize: defaultBodyBytes}
 	if table := g.subscription.current(); table != nil && table.Limits.MaxBodyBytes > 0 {
@@ -64,8 +64,7 @@
 	}
 }
 
-// refuseMalformed answers requests that could not be read, and closes their
-// connections.
+// refuseMalformed answers a request that could not be parsed, and closes its connection.
 func (g *Gateway) refuseMalformed(inbound *fasthttp.RequestCtx, err error) {
 	status := fasthttp.StatusBadRequest
 	var tooSmall *fasthttp.ErrSmallBuffer
@@ -84,7 +83,8 @@
 	telemetry.WithError(g.log, telemetry.EventRequestMalformed, err).WithField("status", status).Info("malformed request rejected")
 }
 
-// refusePanicked answers a request that met a defect: it may have run.
+// refusePanicked answers a request whose handler panicked, with a status that does not promise that the
+// request did not run.
 func refusePanicked(inbound *fasthttp.RequestCtx) {
 	inbound.Response.Reset()
 	inbound.SetStatusCode(fasthttp.StatusBadGateway)
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -14,16 +14,15 @@
 )
 
 const (
-	// stopMargin is kept of the stop timeout for what comes after the last request.
+	// stopMargin is reserved from the stop timeout for the work after the last request.
 	stopMargin = 300 * time.Millisecond
-	// quietInterval is the time between two looks whether requests are still on their way in.
+	// quietInterval is the interval at which incoming requests are checked for during a stop.
 	quietInterval = 100 * time.Millisecond
 )
 
-// stop lets running requests finish. New connections are accepted until the platform has noticed
-// that the gateway is not ready, and each answer closes its connection. Connections that rest are
-// closed once no request can be on its way to them any more, so that no caller takes one up again
-// while there is no time left to answer.
+// stop lets running requests finish. New connections are accepted until the platform has noticed that the
+// gateway is not ready, and each answer closes its connection. Idle connections are closed once no request can
+// be on its way to them, so that no caller reuses one when there is no time left to answer.
 func (g *Gateway) stop(server *fasthttp.Server) error {
 	end := g.clock.Now() + g.settings.StopTimeout - stopMargin
 	g.stopping.Store(true)
@@ -39,9 +38,8 @@
 	return nil
 }
 
-// awaitQuiet waits while requests may be on their way in, for half of the time until the end at
-// most: requests that wait behind long answers on the own link, or that have come and were not
-// read yet.
+// awaitQuiet waits while requests may still be arriving, for at most half of the time until the end: requests
+// that are queued behind long answers on this machine's link, or that were received and not read yet.
 func (g *Gateway) awaitQuiet(end time.Duration) {
 	began := g.clock.Now()
 	latest := began + (end-began)/2
@@ -53,11 +51,11 @@
 		}
 	}
 	telemetry.With(g.log, telemetry.EventRestingClosed).WithField(telemetry.FieldDuration, (g.clock.Now()-began).Milliseconds()).
-		WithField("connections", g.connections.Load()).Info("resting connections closed")
+		WithField("connections", g.connections.Load()).Info("idle connections closed")
 }
 
-// rejectBeforeStop rejects a request that may be cut off by the end of a stop: its caller is better
-// off at another gateway. Before callers have noticed the stop all requests are taken.
+// rejectBeforeStop rejects a request whose deadline is after the end of the stop: its caller is better served
+// by another gateway. Until StopNotice has passed all requests are accepted.
 func (g *Gateway) rejectBeforeStop(current *request) error {
 	end := g.stopEnd.Load()
 	if end == nil || current.deadline <= *end {
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -10,7 +10,7 @@
 	"github.com/thorntiller/thorntiller/internal/fault"
 )
 
-// TestRequestsThatOutlastAStopAreRejected guards against requests that a stopping gateway takes and
+// TestRequestsThatOutlastAStopAreRejected guards against requests that a stopping gateway accepts and then
 // cuts off when it ends.
 func TestRequestsThatOutlastAStopAreRejected(t *testing.T) {
 	g := &Gateway{clock: testClock}
@@ -28,8 +28,7 @@
 	}
 }
 
-// TestUnreadRequestsAreSeen guards against a gateway that closes a connection whose request has come
-// and was not read yet.
+// TestUnreadRequestsAreSeen guards against a gateway that closes a connection with an unread request.
 func TestUnreadRequestsAreSeen(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -49,18 +48,18 @@
 	resting := newRestingConnections()
 	resting.note(accepted, fasthttp.StateNew)
 	if resting.unread() {
-		t.Error("nothing was sent")
+		t.Error("unread bytes reported before anything was sent")
 	}
 	if _, err := caller.Write([]byte("GET")); err != nil {
 		t.Fatal(err)
 	}
 	for end := time.Now().Add(10 * time.Second); !resting.unread(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("bytes that came are not seen")
+			t.Fatal("received bytes are not reported as unread")
 		}
 	}
 	resting.note(accepted, fasthttp.StateActive)
 	if resting.unread() {
-		t.Error("a connection whose request is served does not rest")
+		t.Error("a connection with a request in progress counts as idle")
 	}
 }
--- a/internal/gateway/subscription.go
+++ b/internal/gateway/subscription.go
@@ -23,17 +23,17 @@
 	"github.com/thorntiller/thorntiller/internal/wire"
 )
 
-// subscription keeps the directory by the stream of one controller, and goes to
-// another one when that does not prove in time that it is current.
+// subscription keeps the directory up to date from the stream of one controller, and switches to another
+// controller if that one does not prove in time that the directory is current.
 type subscription struct {
 	clock    clock.Clock
 	settings config.Gateway
 	log      *logrus.Entry
-	// reload reads the settings again, for seeds that changed.
+	// reload reads the settings again, in case the seeds changed.
 	reload func() (config.Gateway, error)
-	// changed is told of each new table.
+	// changed is called with each new table.
 	changed func(*routing.Table)
-	// joined is told of the cluster whose directory this is.
+	// joined is called with the name of the cluster to which the directory belongs.
 	joined func(cluster string)
 
 	// viewLock guards the fields below it.
@@ -41,20 +41,20 @@
 	view        *directory.Directory
 	cluster     message.ClusterID
 	controllers []string
-	// peers are gateways that serve the directory while no controller answers.
+	// peers are the gateways that serve the directory while no controller answers.
 	peers []string
-	// leader is the peer address of the controller that takes counts of requests.
+	// leader is the peer address of the leading controller, to which demand is reported.
 	leader atomic.Pointer[string]
 	table  atomic.Pointer[routing.Table]
-	// provedAt is when the last ping that was answered was sent, and confirmedAt when
-	// the last one that a controller answered was, by the clock.
+	// provedAt is the clock reading when the last answered ping was sent, and confirmedAt when the last ping
+	// answered by a controller was sent.
 	provedAt    atomic.Pointer[time.Duration]
 	confirmedAt atomic.Pointer[time.Duration]
 	// reached is true once a controller has accepted a connection.
 	reached atomic.Bool
-	// peerStreams counts the gateways that take the directory from this one.
+	// peerStreams counts the gateways that follow the directory of this one.
 	peerStreams atomic.Int64
-	// updates tells of each new table.
+	// updates is raised for each new table.
 	updates *broadcast.Broadcast
 	meter   *link.Meter
 	homing  homing
@@ -67,10 +67,10 @@
 	}
 }
 
-// current returns the table, nil before the first items came.
+// current returns the table; nil until the directory has been received.
 func (s *subscription) current() *routing.Table { return s.table.Load() }
 
-// age returns how long ago the directory was proved current.
+// age returns how long ago the directory was proved current; -1 if it never was.
 func (s *subscription) age() time.Duration {
 	proved := s.provedAt.Load()
 	if proved == nil {
@@ -79,8 +79,8 @@
 	return s.clock.Now() - *proved
 }
 
-// confirmedAge returns how long ago a controller proved that the directory is current; the
-// longest time if none did.
+// confirmedAge returns how long ago a controller proved that the directory is current; the maximum duration if
+// none did.
 func (s *subscription) confirmedAge() time.Duration {
 	confirmed := s.confirmedAt.Load()
 	if confirmed == nil {
@@ -89,7 +89,7 @@
 	return s.clock.Now() - *confirmed
 }
 
-// reconnectPause is the wait after all controllers were asked without success.
+// reconnectPause is the delay after all controllers were asked without success.
 const reconnectPause = 20 * time.Millisecond
 
 func (s *subscription) run(ctx context.Context) {
@@ -100,7 +100,7 @@
 	}
 }
 
-// reloadSeeds takes the seeds of the settings as they are now.
+// reloadSeeds applies changes of the seeds in the settings.
 func (s *subscription) reloadSeeds() {
 	if s.reload == nil {
 		return
@@ -113,29 +113,29 @@
 	s.settings.Seeds = fresh.Seeds
 }
 
-// errAskedTwice ends a connection to a controller that accepted an earlier one meanwhile.
+// errAskedTwice ends a connection to a controller that meanwhile accepted an earlier one.
 var errAskedTwice = eris.New("the controller has accepted another connection of this gateway")
 
 var errNoProof = eris.New("no proof of a current directory came in time")
 
-// source is where a stream of the directory comes from.
+// source is the origin of a directory stream.
 type source struct {
 	address string
 	// peer is true for another gateway, false for a controller.
 	peer bool
-	// contest is the search that the stream takes part in as a candidate; nil for none.
+	// contest is the search in which the stream takes part as a candidate; nil for none.
 	contest   *race
 	candidate *candidate
 }
 
-// request returns the first message on a stream.
+// request returns the first message of a stream.
 func (s *subscription) request() message.DirectoryRequest {
 	s.viewLock.Lock()
 	defer s.viewLock.Unlock()
 	return message.DirectoryRequest{Cluster: s.cluster, Revision: s.view.Revision(), Address: s.settings.PeerAddress}
 }
 
-// follow takes the stream of one controller or gateway until it breaks.
+// follow follows the stream of one controller or gateway until it breaks.
 func (s *subscription) follow(ctx context.Context, from source) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -173,7 +173,7 @@
 	return s.receive(connection, pings, from)
 }
 
-// pingLog remembers when the newest pings were sent.
+// pingLog records when the latest pings were sent.
 type pingLog struct {
 	clock  clock.Clock
 	number atomic.Uint64
@@ -241,7 +241,7 @@
 	}
 }
 
-// confirm notes that the directory was current when a ping was sent.
+// confirm records that the directory was current when a ping was sent.
 func (s *subscription) confirm(sentAt *time.Duration, from source) {
 	s.provedAt.Store(sentAt)
 	if !from.peer {
@@ -255,11 +255,11 @@
 	return s.view.Revision()
 }
 
-// catchUp is by how much longer a proof is waited for while changes come: they take
-// their time on a narrow link, and the proof comes behind them.
+// catchUp is the factor by which the wait for a proof is extended while changes arrive: they take time on a
+// narrow link, and the proof is queued behind them.
 const catchUp = 4
 
-// patience is how long a proof is waited for once an update came.
+// patience returns how long to wait for a proof after an update.
 func (s *subscription) patience(update message.DirectoryUpdate) time.Duration {
 	if update.Changes != nil {
 		return catchUp * s.settings.PongTimeout
@@ -267,7 +267,7 @@
 	return s.settings.PongTimeout
 }
 
-// take puts an update in force. After an error the whole directory is asked for.
+// take applies an update. After an error the whole directory is requested.
 func (s *subscription) take(update message.DirectoryUpdate) error {
 	s.viewLock.Lock()
 	defer s.viewLock.Unlock()
--- a/internal/gateway/suspension_test.go
+++ b/internal/gateway/suspension_test.go
@@ -16,11 +16,11 @@
 	"github.com/thorntiller/thorntiller/internal/routing"
 )
 
-// suspension is how long the machine of each test is suspended.
+// suspension is how long the machine is suspended in each test.
 const suspension = 3 * time.Second
 
-// TestSuspensionAgesTheDirectory guards against API keys that are accepted after their revocation,
-// since the time without a controller counts too short.
+// TestSuspensionAgesTheDirectory guards against API keys that are accepted after their revocation because the
+// time without a controller is counted too short.
 func TestSuspensionAgesTheDirectory(t *testing.T) {
 	machine := &manualClock{}
 	g := &Gateway{clock: machine, subscription: newSubscription(machine, config.DefaultGateway(), quiet(), nil, &link.Meter{})}
@@ -36,8 +36,8 @@
 	}
 }
 
-// TestSuspensionEndsWhatAnInstanceMayServe guards against requests to an instance that leaves, or to
-// a zone that is evacuated, for as long again as the machine was suspended.
+// TestSuspensionEndsWhatAnInstanceMayServe guards against requests to an instance that is leaving, or to an
+// evacuated zone, for as much longer as the machine was suspended.
 func TestSuspensionEndsWhatAnInstanceMayServe(t *testing.T) {
 	machine := &manualClock{}
 	leaving := directory.Instance{ID: "i", Zone: "west", State: directory.InstanceDraining}
@@ -47,21 +47,21 @@
 	zones.note(&routing.Table{})
 	zones.note(&routing.Table{Evacuated: []string{"west"}})
 	if !drains.mayServe(leaving) || zones.excludesHolder(leaving) {
-		t.Fatal("an instance serves on for a while")
+		t.Fatal("the instance must still get requests before the suspension")
 	}
 	machine.suspend(suspension)
 	if drains.mayServe(leaving) || !zones.excludesHolder(leaving) {
-		t.Error("the suspension does not count in the time that the instance may serve on")
+		t.Error("the suspension must count towards the time limit")
 	}
 }
 
-// onDial calls a function when a connection to an instance was made, before anything is sent.
+// onDial calls a function when a connection to an instance was made, before anything is sent on it.
 type onDial struct{ call func() }
 
 func (d onDial) Opened()         { d.call() }
 func (d onDial) Passed(int, int) {}
 
-// startInstance answers each request by its identifier, and counts them.
+// startInstance starts an instance that returns the identifier of each request, and counts the requests.
 func startInstance(t *testing.T, idHeader string) (address string, arrivals *atomic.Int64) {
 	t.Helper()
 	arrivals = &atomic.Int64{}
@@ -78,7 +78,7 @@
 	return listener.Addr().String(), arrivals
 }
 
-// oneInstance is a table with one service of one instance.
+// oneInstance returns a table with one service of one instance.
 func oneInstance(t *testing.T, instance directory.Instance) *routing.Table {
 	t.Helper()
 	patch, err := directory.ReadPatch([]byte(`{"set":{"services":[{"name":"s","version":1}]}}`))
@@ -94,7 +94,7 @@
 	return routing.Build(view, nil)
 }
 
-// newRequest is a request for that service, which may take a second.
+// newRequest returns a request for that service with a deadline of one second.
 func newRequest(machine *manualClock) *request {
 	now := machine.Now()
 	return &request{
@@ -104,7 +104,7 @@
 }
 
 // TestSuspensionBetweenChoiceAndSend guards against a request that is sent after its deadline, or to an
-// instance that left meanwhile, since the machine was suspended after the choice.
+// instance that has left meanwhile, because the machine was suspended after the choice.
 func TestSuspensionBetweenChoiceAndSend(t *testing.T) {
 	instance := directory.Instance{ID: "i", Service: "s", Zone: "z", Slots: 1, State: directory.InstanceReady}
 	for _, c := range []struct {
@@ -154,7 +154,7 @@
 	return failure.Kind
 }
 
-// TestDeadlinePassesInASuspension guards against callers who wait on for as long as their gateway's
+// TestDeadlinePassesInASuspension guards against callers that wait for as much longer as their gateway's
 // machine was suspended: the timers of an attempt stand still meanwhile.
 func TestDeadlinePassesInASuspension(t *testing.T) {
 	machine := &manualClock{}
@@ -163,12 +163,12 @@
 	watch.watched[1] = watched{left: current.left, interrupt: current.interrupt}
 	watch.look(func(watched) bool { return false })
 	if current.interrupt.Fired() {
-		t.Fatal("given up in time")
+		t.Fatal("aborted before the deadline")
 	}
 	machine.suspend(suspension)
 	watch.look(func(watched) bool { return false })
 	if !current.interrupt.Fired() {
-		t.Fatal("the request goes on after its deadline")
+		t.Fatal("the request was not aborted after its deadline")
 	}
 	if got := current.interrupted().Kind; got != fault.DeadlineExceeded {
 		t.Errorf("the failure is %q", got)
--- a/internal/gateway/tenant.go
+++ b/internal/gateway/tenant.go
@@ -11,7 +11,7 @@
 
 const bearerScheme = "Bearer"
 
-// apiKey returns the API key that a request shows, empty for none.
+// apiKey returns the API key in a request's header; empty for none.
 func apiKey(header *fasthttp.RequestHeader) string {
 	scheme, key, found := strings.Cut(string(header.Peek(fasthttp.HeaderAuthorization)), " ")
 	if !found || !strings.EqualFold(scheme, bearerScheme) {
@@ -41,15 +41,14 @@
 	return nil
 }
 
-// mayBeRevoked reports whether API keys are not to be trusted, since no controller has
-// confirmed the directory for too long.
+// mayBeRevoked reports whether API keys may have been revoked because no controller has confirmed the
+// directory for too long.
 func (g *Gateway) mayBeRevoked() bool {
 	limit := g.settings.Revocation.Limit
 	return g.settings.Revocation.FailClosed && limit > 0 && g.subscription.confirmedAge() > limit
 }
 
-// fillTenant names the tenant to the instance, whatever the caller sent, and keeps the API key
-// from it.
+// fillTenant sets the tenant header for the instance, whatever the caller sent, and removes the API key.
 func (r *request) fillTenant(outgoing *fasthttp.Request, dialect Dialect) {
 	outgoing.Header.Del(dialect.Tenant)
 	if r.tenant != nil {
--- a/internal/gateway/throttle.go
+++ b/internal/gateway/throttle.go
@@ -6,8 +6,8 @@
 	"github.com/thorntiller/thorntiller/internal/fault"
 )
 
-// throttled returns an error for a request whose key asks for more than its holder serves,
-// and which is not among those that are sent on.
+// throttled returns an error for a request that is shed because its key gets more requests than its holder can
+// serve.
 func (g *Gateway) throttled(current *request) error {
 	if !current.keyed {
 		return nil
--- a/internal/gateway/tokens.go
+++ b/internal/gateway/tokens.go
@@ -10,13 +10,13 @@
 	"github.com/thorntiller/thorntiller/internal/quota"
 )
 
-// tokens are those that this gateway has of tenants with a limit, or of instances that named one.
-// It is safe for concurrent use.
+// tokens holds this gateway's tokens of tenants that have a rate limit, or of instances that advertise one. It
+// is safe for concurrent use.
 type tokens struct {
 	clock    clock.Clock
 	mutex    sync.Mutex
 	accounts *quota.Accounts
-	// changed tells requests that wait for a token that there may be one.
+	// changed wakes the requests that wait for a token.
 	changed *broadcast.Broadcast
 	// urgent gets an entry when the leader is to be asked at once.
 	urgent chan struct{}
@@ -28,14 +28,15 @@
 	}
 }
 
-// refund gives back a token that was not used.
+// refund returns a token that was not used.
 func (t *tokens) refund(subject string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.accounts.Refund(t.clock.Now(), subject)
 }
 
-// take waits for a token for a short time. Left reports whether the caller has left.
+// take takes a token, and waits up to quota.AnswerTime for one. Left reports whether the caller has
+// disconnected.
 func (t *tokens) take(subject quota.Subject, left func() bool) (quota.Verdict, time.Duration) {
 	began := t.clock.Now()
 	changed := t.changed.Next()
@@ -88,14 +89,14 @@
 	}
 }
 
-// asks returns what the leader is to be told now.
+// asks returns the asks to send to the leader now.
 func (t *tokens) asks() []quota.Ask {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.accounts.Asks(t.clock.Now())
 }
 
-// unanswered returns for how long the leader has left an ask without an answer.
+// unanswered returns how long the oldest unanswered ask has been waiting for the leader.
 func (t *tokens) unanswered() time.Duration {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -110,7 +111,7 @@
 	t.askIfDue()
 }
 
-// askIfDue asks the leader at once if requests wait for tokens that were not asked for of late.
+// askIfDue triggers a report to the leader if requests wait for tokens that were not asked for recently.
 func (t *tokens) askIfDue() {
 	t.mutex.Lock()
 	due := t.accounts.AskDue(t.clock.Now())
@@ -120,7 +121,7 @@
 	}
 }
 
-// disconnected notes that the connection to the leader ended.
+// disconnected records that the connection to the leader ended.
 func (t *tokens) disconnected() {
 	t.mutex.Lock()
 	t.accounts.Disconnected(t.clock.Now())
--- a/internal/gateway/unreachable.go
+++ b/internal/gateway/unreachable.go
@@ -8,16 +8,16 @@
 	"github.com/thorntiller/thorntiller/internal/directory"
 )
 
-// unreachablePause is how long an instance to which no connection could be made gets no
-// requests: about what an attempt to connect lasts. After it one request finds out whether
-// the instance is back; the controllers give a holder's keys to another one meanwhile.
+// unreachablePause is how long an instance to which a connection failed gets no requests: about as long as an
+// attempt to connect takes. After it, one request probes the instance; meanwhile the controllers give a
+// holder's keys to another instance.
 const unreachablePause = 400 * time.Millisecond
 
-// unreachable remembers the instances to which no connection could be made, and bounds how often
-// another one is tried: requests that need that instance are rejected at once, others go elsewhere,
-// also where so many are gone that the balancer ejects none. It is safe for concurrent use.
+// unreachable records the instances to which a connection failed, and bounds how often they are tried again:
+// requests that need such an instance are rejected at once, and others are sent elsewhere, even if so many
+// instances failed that the balancer ejects none. It is safe for concurrent use.
 type unreachable struct {
-	// none is true while all can be reached, which is nearly always: requests take no lock then.
+	// none is true while all instances are reachable, which is nearly always; requests then take no lock.
 	none  atomic.Bool
 	mutex sync.Mutex
 	until map[directory.InstanceID]time.Duration
@@ -29,7 +29,7 @@
 	return u
 }
 
-// note takes that no connection to an instance could be made.
+// note records that a connection to an instance failed.
 func (u *unreachable) note(now time.Duration, id directory.InstanceID) {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
@@ -37,7 +37,7 @@
 	u.none.Store(false)
 }
 
-// reached takes that an instance answered.
+// reached records that an instance answered.
 func (u *unreachable) reached(id directory.InstanceID) {
 	if u.none.Load() {
 		return
@@ -58,8 +58,8 @@
 	return now < u.until[id]
 }
 
-// mayAsk reports whether an instance may get a request now. The first request after the pause
-// begins another one, so that the next ones do not wait for the same connection.
+// mayAsk reports whether a request may be sent to an instance now. The first request after the pause starts
+// another pause, so that the next ones do not wait for the same connection attempt.
 func (u *unreachable) mayAsk(now time.Duration, id directory.InstanceID) bool {
 	if u.none.Load() {
 		return true
@@ -77,7 +77,7 @@
 	return true
 }
 
-// forget drops the instances that are not among those known.
+// forget drops the instances that are no longer known.
 func (u *unreachable) forget(known func(directory.InstanceID) bool) {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
--- a/internal/gateway/unreachable_test.go
+++ b/internal/gateway/unreachable_test.go
@@ -7,9 +7,9 @@
 	"github.com/thorntiller/thorntiller/internal/directory"
 )
 
-// TestUnreachableHolderIsAskedByOne: after a failed connection requests for its keys are
-// rejected at once, but for one after each pause. Each waited for a connection of its own,
-// several times in a row.
+// TestUnreachableHolderIsAskedByOne guards against requests that each wait for a connection attempt of their
+// own, several times in a row. After a failed connection, requests for the holder's keys are rejected at once,
+// except for one after each pause.
 func TestUnreachableHolderIsAskedByOne(t *testing.T) {
 	u := newUnreachable()
 	now := time.Second
@@ -22,7 +22,7 @@
 	}
 	now += unreachablePause
 	if !u.mayAsk(now, "a") || u.mayAsk(now, "a") {
-		t.Error("after the pause one request must find out, and no more")
+		t.Error("after the pause exactly one request must probe the holder")
 	}
 	u.reached("a")
 	for range 2 {
@@ -37,7 +37,8 @@
 	}
 }
 
-// BenchmarkAllReachable is the look at one instance that nearly all requests take.
+// BenchmarkAllReachable measures the check of one instance while all are reachable, as for nearly all
+// requests.
 func BenchmarkAllReachable(b *testing.B) {
 	u := newUnreachable()
 	b.RunParallel(func(each *testing.PB) {
--- a/internal/gateway/upstream.go
+++ b/internal/gateway/upstream.go
@@ -8,7 +8,7 @@
 	"github.com/thorntiller/thorntiller/internal/forward"
 )
 
-// upstreams holds the connections to each instance. It is safe for concurrent use.
+// upstreams has the client with the connections to each instance. It is safe for concurrent use.
 type upstreams struct {
 	settings forward.Settings
 	mutex    sync.Mutex
