--- a/internal/gateway/answer.go
+++ b/internal/gateway/answer.go
@@ -41,23 +41,23 @@
 const (
 	// retryAfter lets an instance finish its current work, or keys get their next holder.
 	retryAfter = 250 * time.Millisecond
-	// retryElsewhere is for a gateway that has no directory yet while controllers are reachable: it gets one
-	// within 100 to 200 ms, and other gateways have one.
-	retryElsewhere = 150 * time.Millisecond
-	// retryOutage is for a gateway that has reached no controller: most likely all of them have lost power,
-	// and other gateways have no directory either. A controller takes about 150 ms to start, and the directory
-	// of 700 instances takes 200 ms on a 2 Mbit/s link.
-	retryOutage = 400 * time.Millisecond
-	// retryCongested lets a caller reach another gateway whose link has capacity. It is short, since the
+	// retryAfterNoDirectory is for a gateway that has no directory yet while controllers are reachable: it
+	// gets one within 100 to 200 ms, and other gateways have one.
+	retryAfterNoDirectory = 150 * time.Millisecond
+	// retryAfterOutage is for a gateway that has reached no controller: most likely all of them have lost
+	// power, and other gateways have no directory either. A controller takes about 150 ms to start, and the
+	// directory of 700 instances takes 200 ms on a 2 Mbit/s link.
+	retryAfterOutage = 400 * time.Millisecond
+	// retryAfterCongested lets a caller reach another gateway whose link has capacity. It is short, since the
 	// caller's deadline counts from its first attempt.
-	retryCongested = 30 * time.Millisecond
-	// shortestReturn and longestReturn bound the delay that follows from the expected time until there is
+	retryAfterCongested = 30 * time.Millisecond
+	// minRetryAfter and maxRetryAfter bound the delay that follows from the expected time until there is
 	// capacity: an estimate of a few milliseconds is not worth another rejection, and one of many seconds is
 	// not reliable.
-	shortestReturn = 50 * time.Millisecond
-	longestReturn  = 2 * time.Second
-	// longestReturnSpread bounds the random delay that is added to the end of a rest.
-	longestReturnSpread = 250 * time.Millisecond
+	minRetryAfter = 50 * time.Millisecond
+	maxRetryAfter = 2 * time.Second
+	// maxRetryJitter bounds the random delay that is added to the end of a rest.
+	maxRetryJitter = 250 * time.Millisecond
 )
 
 // retryAfterOf returns the delay after which a caller is told to retry after a failure; zero if it should not
@@ -67,13 +67,13 @@
 	case kind == fault.RequestQuarantined:
 		return 0
 	case kind == fault.LinkCongested:
-		return retryCongested
+		return retryAfterCongested
 	case kind != fault.StaleRouter:
 		return retryAfter
-	case g.subscription.reached.Load():
-		return retryElsewhere
+	case g.subscription.controllerReached.Load():
+		return retryAfterNoDirectory
 	default:
-		return retryOutage
+		return retryAfterOutage
 	}
 }
 
@@ -103,15 +103,15 @@
 		wait = current.retryIn
 	case fault.ServerResting:
 		// Spread, so that the rejected callers do not all retry at the same moment.
-		wait = current.retryIn + time.Duration(rand.Float64()*float64(longestReturnSpread))
+		wait = current.retryIn + time.Duration(rand.Float64()*float64(maxRetryJitter))
 	default:
 	}
-	if current.rejectedWithRoom {
+	if current.rejectedWithCapacity {
 		// The next attempt may succeed at once, and the caller's deadline counts from its first one.
-		wait = shortestReturn
+		wait = minRetryAfter
 	}
-	if current.noRoom {
-		wait = min(max(current.retryIn, shortestReturn), longestReturn)
+	if current.noCapacity {
+		wait = min(max(current.retryIn, minRetryAfter), maxRetryAfter)
 	}
 	status, notRun := statusOf(failure)
 	outbound.SetStatusCode(status)
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -21,7 +21,7 @@
 	for {
 		instance, err := g.acquire(current)
 		if err != nil {
-			return truthful(unknown, asFault(err))
+			return overallFailure(unknown, asFault(err))
 		}
 		failure := g.attempt(current, instance)
 		if failure == nil {
@@ -30,17 +30,17 @@
 		if fault.AnswerFor(failure.Kind).Outcome == fault.Unknown {
 			unknown = failure
 		}
-		current.rejectedWithRoom = failure.Kind == fault.Shedding && g.hasRoom(current)
+		current.rejectedWithCapacity = failure.Kind == fault.Shedding && g.hasCapacity(current)
 		if !g.mayResend(current, failure) {
-			return truthful(unknown, failure)
+			return overallFailure(unknown, failure)
 		}
 		g.metrics.resends.WithLabelValues(current.service, string(failure.Kind)).Inc()
 	}
 }
 
-// truthful returns the failure that holds for all attempts of a request: that the last attempt did not run
-// proves nothing about an earlier one that may have.
-func truthful(unknown, last *fault.Error) *fault.Error {
+// overallFailure returns the failure that holds for all attempts of a request: that the last attempt did
+// not run proves nothing about an earlier one that may have.
+func overallFailure(unknown, last *fault.Error) *fault.Error {
 	if unknown != nil && fault.AnswerFor(last.Kind).Outcome == fault.NotRun {
 		return unknown
 	}
@@ -67,20 +67,20 @@
 	if failure.Kind == fault.ServerResting && current.keyed {
 		return false
 	}
-	if failure.Kind == fault.Shedding && current.keyed && !current.rejectedWithRoom {
+	if failure.Kind == fault.Shedding && current.keyed && !current.rejectedWithCapacity {
 		// Only the holder may run the request, and the holder is at capacity.
 		return false
 	}
 	if failure.Kind == fault.ConnectFailed || current.withdrawn {
 		// Nothing reached an instance, and the budget counts arrivals.
 		current.attempts = current.attempts[:len(current.attempts)-1]
-		return current.left() > minimumLeft
+		return current.remaining() > minRemaining
 	}
-	return current.left() > minimumLeft && g.budget(current.service).TakeResend()
+	return current.remaining() > minRemaining && g.budget(current.service).TakeResend()
 }
 
-// hasRoom reports whether the instance that rejected the request should have had capacity for it.
-func (g *Gateway) hasRoom(current *request) bool {
+// hasCapacity reports whether the instance that rejected the request should have had capacity for it.
+func (g *Gateway) hasCapacity(current *request) bool {
 	table := g.subscription.current()
 	service, found := table.Service(current.service)
 	if !found {
@@ -90,8 +90,8 @@
 	return found && g.balancer.HasRoom(g.clock.Now(), instance, balance.Fleet{Senders: table.Gateways, Slots: service.Slots()})
 }
 
-// minimumLeft is the remaining time below which a request is no longer sent.
-const minimumLeft = 20 * time.Millisecond
+// minRemaining is the remaining time below which a request is no longer sent.
+const minRemaining = 20 * time.Millisecond
 
 // attempt sends the request to one instance, at which the balancer has counted it as in flight.
 func (g *Gateway) attempt(current *request, instance directory.Instance) *fault.Error {
@@ -100,14 +100,14 @@
 	current.withdrawn = false
 	outgoing := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(outgoing)
-	current.fill(outgoing, g.dialect, instance)
-	turn := g.pacer.turnOf(current, len(current.inbound.Body()))
+	current.buildOutgoing(outgoing, g.dialect, instance)
+	waitTurn := g.pacer.turnFunc(current, len(current.inbound.Body()))
 	began, sentAt := time.Now(), g.clock.Now() // time.Now does not count a suspension as time of the instance
 	failure := g.upstreams.client(instance).Do(&forward.Attempt{
-		ID: current.id, Request: outgoing, Response: current.answer, Timeout: current.left(), Interrupt: current.interrupt,
-		Check: func() *fault.Error { return g.maySendNow(current, instance) },
+		ID: current.id, Request: outgoing, Response: current.answer, Timeout: current.remaining(), Interrupt: current.interrupt,
+		Check: func() *fault.Error { return g.checkBeforeWrite(current, instance) },
 		Write: func(data []byte, write func([]byte) (int, error)) (int, error) {
-			return writeInTurns(data, turn, write)
+			return writeInTurns(data, waitTurn, write)
 		},
 	})
 	if failure == nil || !current.withdrawn && failure.Kind != fault.ConnectFailed && failure.Kind != fault.QueueFull {
@@ -118,26 +118,26 @@
 		rest := g.noteSignal(current, instance, sentAt)
 		failure = g.refusalOf(current.answer)
 		if failure != nil && rest > 0 {
-			failure = resting(current, instance.ID, rest)
+			failure = restingFailure(current, instance.ID, rest)
 		}
 	}
 	if failure != nil && current.interrupt.Fired() {
 		failure = current.interrupted()
 	}
 	took := time.Since(began)
-	current.note(instance.ID, sentAt, took, failure)
-	g.ended(current, instance, took, failure)
+	current.recordAttempt(instance.ID, sentAt, took, failure)
+	g.recordResult(current, instance, took, failure)
 	g.guard.EndTrial(&current.suspicion, failure)
 	if failure == nil {
-		g.noteAnswered(current)
+		g.recordAnswered(current)
 	} else {
-		g.noteLoss(current, instance, took, failure)
+		g.recordLoss(current, instance, took, failure)
 	}
 	return failure
 }
 
-// note records the result of an attempt.
-func (r *request) note(instance directory.InstanceID, began, took time.Duration, failure *fault.Error) {
+// recordAttempt records the result of an attempt.
+func (r *request) recordAttempt(instance directory.InstanceID, began, took time.Duration, failure *fault.Error) {
 	outcome := attemptOutcome{Instance: instance, AfterMs: (began - r.arrived).Milliseconds(), TookMs: took.Milliseconds()}
 	if failure != nil {
 		outcome.Kind = failure.Kind
@@ -158,19 +158,20 @@
 	}
 }
 
-// ended records the result of an attempt with the balancer and everything else that tracks instances.
-func (g *Gateway) ended(current *request, instance directory.Instance, took time.Duration, failure *fault.Error) {
+// recordResult passes the result of an attempt to the balancer and to everything else that tracks
+// instances.
+func (g *Gateway) recordResult(current *request, instance directory.Instance, took time.Duration, failure *fault.Error) {
 	outcome := balance.Outcome{
 		Now: g.clock.Now(), Service: current.service, Instance: instance.ID, Took: took, Answered: failure == nil,
 		Full: failure != nil && (failure.Kind == fault.Shedding || failure.Kind == fault.ServerResting),
 	}
 	if failure != nil && failure.Kind == fault.WrongEpoch && current.keyed {
-		g.rejections.note(instance.ID, current.rangeFirst, current.layoutRevision)
+		g.rejections.record(instance.ID, current.rangeFirst, current.layoutRevision)
 	}
 	if failure == nil && current.answer.StatusCode() < fasthttp.StatusInternalServerError {
 		// An instance that fails at once must not count as a fast one.
 		limit, _ := g.signals.limit(outcome.Now, instance.ID)
-		g.demand.answered(current.service, instance.ID, took, limit)
+		g.demand.countAnswer(current.service, instance.ID, took, limit)
 	}
 	if failure != nil && failure.Kind == fault.WrongEpoch && !current.keyed {
 		// Its address belongs to another instance by now.
@@ -188,15 +189,15 @@
 		}
 	}
 	if outcome.Unreachable {
-		g.unreachable.note(outcome.Now, instance.ID)
+		g.unreachable.record(outcome.Now, instance.ID)
 	}
 	if failure == nil {
-		g.unreachable.reached(instance.ID)
+		g.unreachable.clear(instance.ID)
 	}
 	g.endPlace(current, took, failure)
 	g.endInstanceToken(current, failure)
 	if g.balancer.End(outcome) {
 		g.logEjected(instance, failure)
 	}
-	g.slots.Raise()
+	g.attemptEnded.Raise()
 }
--- a/internal/gateway/backpressure.go
+++ b/internal/gateway/backpressure.go
@@ -44,9 +44,9 @@
 	}
 }
 
-// note records the signal in an answer, and reports whether this is the first unreadable header of the
+// record stores the signal in an answer, and reports whether this is the first unreadable header of the
 // instance.
-func (s *instanceSignals) note(now, sentAt time.Duration, id directory.InstanceID, signal backpressure.Signal, unreadable bool) (backpressure.Change, bool) {
+func (s *instanceSignals) record(now, sentAt time.Duration, id directory.InstanceID, signal backpressure.Signal, unreadable bool) (backpressure.Change, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	first := unreadable && !s.reported[id]
@@ -102,8 +102,8 @@
 	return s.tracker.Rest(now, id)
 }
 
-// begin is like rest, for a request that is sent at once if it may be.
-func (s *instanceSignals) begin(now time.Duration, id directory.InstanceID) time.Duration {
+// beginSend is like rest, for a request that is sent at once if it may be.
+func (s *instanceSignals) beginSend(now time.Duration, id directory.InstanceID) time.Duration {
 	if s.signalling.Load() == 0 {
 		return 0
 	}
@@ -122,35 +122,35 @@
 	return s.tracker.Leaving(now, id)
 }
 
-// heldBack returns why a request may not be sent to the holder of its key because of that instance's signals;
-// nil if it may.
-func (g *Gateway) heldBack(current *request, holder directory.Instance) *fault.Error {
+// checkHolder returns why a request may not be sent to the holder of its key because of that instance's
+// signals; nil if it may.
+func (g *Gateway) checkHolder(current *request, holder directory.Instance) *fault.Error {
 	now := g.clock.Now()
 	if wait := g.signals.rest(now, holder.ID); wait > 0 {
-		return resting(current, holder.ID, wait)
+		return restingFailure(current, holder.ID, wait)
 	}
-	return g.departed(holder)
+	return g.leftFailure(holder)
 }
 
-// departed returns the failure for an instance that signalled longer than DrainTime ago that it is leaving;
+// leftFailure returns the failure for an instance that signalled longer than DrainTime ago that it is leaving;
 // nil for none.
-func (g *Gateway) departed(instance directory.Instance) *fault.Error {
+func (g *Gateway) leftFailure(instance directory.Instance) *fault.Error {
 	if since, leaves := g.signals.leaving(g.clock.Now(), instance.ID); leaves && since >= g.settings.DrainTime {
 		return fault.Newf(fault.NoOwner, "instance %s leaves, as it said first %s ago", instance.ID, since.Round(time.Millisecond))
 	}
 	return nil
 }
 
-// maySend checks an instance just before the request is sent, since its signals may have arrived while the
-// request waited. A nil error means that the request is sent at once.
-func (g *Gateway) maySend(current *request, instance directory.Instance) *fault.Error {
+// checkBeforeSend checks an instance just before the request is sent, since its signals may have arrived
+// while the request waited. A nil error means that the request is sent at once.
+func (g *Gateway) checkBeforeSend(current *request, instance directory.Instance) *fault.Error {
 	if failure := g.takeInstanceToken(current, instance); failure != nil {
 		return failure
 	}
-	failure := g.departed(instance)
+	failure := g.leftFailure(instance)
 	if failure == nil {
-		if wait := g.signals.begin(g.clock.Now(), instance.ID); wait > 0 {
-			failure = resting(current, instance.ID, wait)
+		if wait := g.signals.beginSend(g.clock.Now(), instance.ID); wait > 0 {
+			failure = restingFailure(current, instance.ID, wait)
 		}
 	}
 	if failure == nil {
@@ -162,18 +162,18 @@
 	return failure
 }
 
-// resting returns the failure of a request for an instance at rest, and records how long the rest lasts.
-func resting(current *request, id directory.InstanceID, wait time.Duration) *fault.Error {
+// restingFailure returns the failure of a request for an instance at rest, and records how long the rest lasts.
+func restingFailure(current *request, id directory.InstanceID, wait time.Duration) *fault.Error {
 	current.retryIn = wait
 	return fault.Newf(fault.ServerResting, "instance %s wants no requests of this gateway for %s", id, wait.Round(time.Millisecond))
 }
 
-// noteResting keeps the failure of the instance whose rest ends first, of those that could have served the
+// recordResting keeps the failure of the instance whose rest ends first, of those that could have served the
 // request.
-func (r *request) noteResting(id directory.InstanceID, wait time.Duration) {
-	known := r.resting != nil || r.limited != nil
+func (r *request) recordResting(id directory.InstanceID, wait time.Duration) {
+	known := r.restFailure != nil || r.limitFailure != nil
 	if !known || wait < r.retryIn {
-		r.resting = resting(r, id, wait)
+		r.restFailure = restingFailure(r, id, wait)
 	}
 }
 
@@ -189,7 +189,7 @@
 		Urgency: uint8(quota.MostUrgent * current.urgency),
 	}, current.interrupt.Fired)
 	if verdict == quota.Taken {
-		current.tokenOf = instance.ID
+		current.tokenInstance = instance.ID
 		if !current.keyed || g.stillHolds(current, instance.ID) {
 			return nil
 		}
@@ -200,38 +200,38 @@
 		current.retryIn = retryIn
 	}
 	current.limitedAt = append(current.limitedAt, instance.ID)
-	current.limited = fault.Newf(fault.ServerLimited, "instance %s takes %g requests a second from all gateways, as it said %s ago",
+	current.limitFailure = fault.Newf(fault.ServerLimited, "instance %s takes %g requests a second from all gateways, as it said %s ago",
 		instance.ID, limit, age.Round(time.Millisecond))
-	return current.limited
+	return current.limitFailure
 }
 
 // endInstanceToken refunds the token of an attempt if nothing reached the instance.
 func (g *Gateway) endInstanceToken(current *request, failure *fault.Error) {
 	if failure == nil {
-		current.tokenOf = ""
+		current.tokenInstance = ""
 		return
 	}
 	switch {
 	case current.withdrawn, failure.Kind == fault.ConnectFailed, failure.Kind == fault.QueueFull, failure.Kind == fault.CancelledBeforeStart:
 		g.refundInstanceToken(current)
 	default:
-		current.tokenOf = ""
+		current.tokenInstance = ""
 	}
 }
 
 func (g *Gateway) refundInstanceToken(current *request) {
-	if current.tokenOf != "" {
-		g.instanceTokens.refund(string(current.tokenOf))
-		current.tokenOf = ""
+	if current.tokenInstance != "" {
+		g.instanceTokens.refund(string(current.tokenInstance))
+		current.tokenInstance = ""
 	}
 }
 
-// giveBack undoes the choice of an instance for a request that is not sent to it.
-func (g *Gateway) giveBack(current *request, instance directory.Instance) {
+// releaseInstance undoes the choice of an instance for a request that is not sent to it.
+func (g *Gateway) releaseInstance(current *request, instance directory.Instance) {
 	g.balancer.Release(instance.ID)
 	current.place.end(room.Unused, 0)
 	current.place = nil
-	g.slots.Raise()
+	g.attemptEnded.Raise()
 }
 
 // noteSignal records the signal in a complete answer of an instance, and returns the rest that it asks for;
@@ -242,7 +242,7 @@
 		return 0
 	}
 	signal, err := g.readSignal(answer)
-	change, first := g.signals.note(g.clock.Now(), sentAt, instance.ID, signal, err != nil)
+	change, first := g.signals.record(g.clock.Now(), sentAt, instance.ID, signal, err != nil)
 	line := func(event telemetry.Event) *logrus.Entry {
 		return telemetry.With(g.log, event).WithField(telemetry.FieldServer, instance.ID).
 			WithField(telemetry.FieldService, instance.Service).WithField(telemetry.FieldRequest, current.id)
@@ -267,7 +267,7 @@
 	var signal backpressure.Signal
 	var failure error
 	if values := answer.Header.PeekAll(g.dialect.Limit); len(values) > 0 {
-		limit, readable, err := backpressure.ParseLimit(asStrings(values))
+		limit, readable, err := backpressure.ParseLimit(toStrings(values))
 		signal.Limit, signal.LimitUnreadable = limit, !readable
 		failure = err
 	}
@@ -288,7 +288,7 @@
 // leavingValue is the value of the header by which an instance signals that it is leaving.
 const leavingValue = "1"
 
-func asStrings(values [][]byte) []string {
+func toStrings(values [][]byte) []string {
 	read := make([]string, 0, len(values))
 	for _, value := range values {
 		read = append(read, string(value))
--- a/internal/gateway/callers.go
+++ b/internal/gateway/callers.go
@@ -12,25 +12,25 @@
 	"github.com/thorntiller/thorntiller/internal/forward"
 )
 
-// callerInterval is the interval at which the callers' connections are checked.
-const callerInterval = 100 * time.Millisecond
+// callerPollInterval is the interval at which the callers' connections are checked.
+const callerPollInterval = 100 * time.Millisecond
 
-// overdue is how long after its deadline the attempt of a request is aborted here. The timers of the attempt
-// do so in time, unless the machine was suspended, during which they stand still.
-const overdue = 100 * time.Millisecond
+// overdueMargin is how long after its deadline the attempt of a request is aborted here. The timers of the
+// attempt do so in time, unless the machine was suspended, during which they stand still.
+const overdueMargin = 100 * time.Millisecond
 
 // callers watches the connections of requests that wait for their answer, and aborts the attempts of those
 // whose caller has disconnected or whose deadline has passed. It peeks at each connection without reading, so
 // that a pipelined request stays complete. It is safe for concurrent use.
 type callers struct {
-	mutex   sync.Mutex
-	last    uint64
-	watched map[uint64]watched
+	mutex      sync.Mutex
+	lastNumber uint64
+	watched    map[uint64]watched
 }
 
 type watched struct {
-	// left returns the time until the deadline of the request.
-	left       func() time.Duration
+	// remaining returns the time until the deadline of the request.
+	remaining  func() time.Duration
 	connection syscall.RawConn
 	interrupt  *forward.Interrupt
 }
@@ -49,9 +49,9 @@
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.last++
-	number := c.last
-	c.watched[number] = watched{left: current.left, connection: raw, interrupt: current.interrupt}
+	c.lastNumber++
+	number := c.lastNumber
+	c.watched[number] = watched{remaining: current.remaining, connection: raw, interrupt: current.interrupt}
 	return func() {
 		c.mutex.Lock()
 		defer c.mutex.Unlock()
@@ -61,15 +61,15 @@
 
 // run checks the connections until the context ends.
 func (c *callers) run(ctx context.Context) {
-	clock.Every(ctx, callerInterval, func() {
-		c.look(func(each watched) bool { return hasLeft(each.connection) })
+	clock.Every(ctx, callerPollInterval, func() {
+		c.poll(func(each watched) bool { return disconnected(each.connection) })
 	})
 }
 
-// look aborts the attempts whose deadline has passed or whose caller has disconnected.
-func (c *callers) look(left func(watched) bool) {
+// poll aborts the attempts whose deadline has passed or whose caller has disconnected.
+func (c *callers) poll(disconnected func(watched) bool) {
 	for _, each := range c.snapshot() {
-		if each.left() < -overdue || left(each) {
+		if each.remaining() < -overdueMargin || disconnected(each) {
 			each.interrupt.Fire()
 		}
 	}
@@ -88,24 +88,25 @@
 // interrupted returns the failure of an aborted attempt: its caller disconnected, or its deadline passed while
 // the machine was suspended, which the timers of the attempt do not count.
 func (r *request) interrupted() *fault.Error {
-	if r.left() <= 0 {
+	if r.remaining() <= 0 {
 		return fault.New(fault.DeadlineExceeded, "the deadline passed before the instance's answer was whole")
 	}
 	return fault.New(fault.ConnectionLost, "the caller left")
 }
 
-// hasLeft reports whether the peer closed or reset a connection. Unread bytes prove that it is still there.
-func hasLeft(connection syscall.RawConn) bool {
-	left := false
-	err := connection.Control(func(descriptor uintptr) { left = peek(descriptor) == 0 })
-	return err != nil || left
+// disconnected reports whether the peer closed or reset a connection. Unread bytes prove that it is still
+// there.
+func disconnected(connection syscall.RawConn) bool {
+	closed := false
+	err := connection.Control(func(descriptor uintptr) { closed = peek(descriptor) == 0 })
+	return err != nil || closed
 }
 
-// nothingYet is what peek returns for an open connection without unread bytes.
-const nothingYet = -1
+// noUnreadBytes is what peek returns for an open connection without unread bytes.
+const noUnreadBytes = -1
 
 // peek checks a connection without reading from it. It returns 1 if there are unread bytes, 0 if the peer
-// closed or reset the connection, and nothingYet otherwise.
+// closed or reset the connection, and noUnreadBytes otherwise.
 func peek(descriptor uintptr) int {
 	var buffer [1]byte
 	count, _, err := syscall.Recvfrom(int(descriptor), buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
@@ -113,7 +114,7 @@
 	case nil:
 		return count
 	case syscall.EAGAIN, syscall.EINTR:
-		return nothingYet
+		return noUnreadBytes
 	default:
 		return 0
 	}
--- a/internal/gateway/choose.go
+++ b/internal/gateway/choose.go
@@ -15,14 +15,14 @@
 // since the last attempt.
 func (g *Gateway) acquire(current *request) (directory.Instance, error) {
 	for {
-		freed, updated := g.slots.Next(), g.subscription.updates.Next()
+		freed, updated := g.attemptEnded.Next(), g.subscription.updates.Next()
 		instance, failure := g.choose(current)
 		if failure == nil {
-			failure = g.maySend(current, instance)
+			failure = g.checkBeforeSend(current, instance)
 			if failure == nil {
 				return instance, nil
 			}
-			g.giveBack(current, instance)
+			g.releaseInstance(current, instance)
 			if failure.Kind == fault.RequestQuarantined {
 				return directory.Instance{}, failure
 			}
@@ -30,11 +30,11 @@
 				continue
 			}
 		}
-		wait := min(g.patience(current, failure)-g.clock.Now(), current.left()-minimumLeft)
+		wait := min(g.waitUntil(current, failure)-g.clock.Now(), current.remaining()-minRemaining)
 		if wait <= 0 || current.interrupt.Fired() {
 			return directory.Instance{}, failure
 		}
-		timer := time.NewTimer(min(wait, lookInterval))
+		timer := time.NewTimer(min(wait, choosePollInterval))
 		select {
 		case <-freed:
 		case <-updated:
@@ -44,25 +44,25 @@
 	}
 }
 
-// lookInterval bounds the time between two attempts to choose an instance.
-const lookInterval = 50 * time.Millisecond
+// choosePollInterval bounds the time between two attempts to choose an instance.
+const choosePollInterval = 50 * time.Millisecond
 
-// patience returns the clock reading until which a request waits for an instance, depending on why there is
+// waitUntil returns the clock reading until which a request waits for an instance, depending on why there is
 // none. Keys without a holder get one soon, so that waiting serves the caller better than a rejection; but the
 // wait takes less than half of the caller's time, so that it can still retry with the rest.
-func (g *Gateway) patience(current *request, failure *fault.Error) time.Duration {
-	const heldShare = 0.4
-	if failure.Kind == fault.ConnectFailed || failure.Kind == fault.ServerLimited || current.noRoom {
+func (g *Gateway) waitUntil(current *request, failure *fault.Error) time.Duration {
+	const noOwnerShare = 0.4
+	if failure.Kind == fault.ConnectFailed || failure.Kind == fault.ServerLimited || current.noCapacity {
 		return current.arrived
 	}
-	given := current.deadline - current.arrived
+	timeout := current.deadline - current.arrived
 	if failure.Kind == fault.NoOwner {
-		return current.arrived + time.Duration(heldShare*float64(given))
+		return current.arrived + time.Duration(noOwnerShare*float64(timeout))
 	}
-	const share = 5
-	wait := current.target() / share
+	const targetShare = 5
+	wait := current.target() / targetShare
 	if wait <= 0 {
-		wait = given / share
+		wait = timeout / targetShare
 	}
 	until := current.arrived + wait
 	if failure.Kind == fault.ServerResting && g.clock.Now()+current.retryIn > until {
@@ -91,7 +91,7 @@
 	now := g.clock.Now()
 	candidates := g.candidates(now, current, service.Instances)
 	if len(candidates) == 0 {
-		return directory.Instance{}, current.nobodyLeft()
+		return directory.Instance{}, current.noInstanceFailure()
 	}
 	instance, chosen := g.chooseAmong(now, current, candidates)
 	if !chosen {
@@ -130,14 +130,14 @@
 	return directory.Instance{}, false
 }
 
-// nobodyLeft returns the failure of a request for which no candidate is left: that of an instance with a rate
-// limit or at rest that could have served it, if there was one.
-func (r *request) nobodyLeft() *fault.Error {
-	if r.limited != nil {
-		return r.limited
+// noInstanceFailure returns the failure of a request for which no candidate is left: that of an instance
+// with a rate limit or at rest that could have served it, if there was one.
+func (r *request) noInstanceFailure() *fault.Error {
+	if r.limitFailure != nil {
+		return r.limitFailure
 	}
-	if r.resting != nil {
-		return r.resting
+	if r.restFailure != nil {
+		return r.restFailure
 	}
 	return fault.Newf(fault.NoOwner, "no instance of service %q is left to send to", r.service)
 }
@@ -146,20 +146,20 @@
 func (g *Gateway) candidates(now time.Duration, current *request, instances []*directory.Instance) []directory.Instance {
 	candidates := make([]directory.Instance, 0, len(instances))
 	var leaving []directory.Instance
-	current.resting = nil
+	current.restFailure = nil
 	for _, each := range instances {
 		instance := *each
 		if !instance.Serving() || slices.Contains(current.attempts, instance.ID) || slices.Contains(current.limitedAt, instance.ID) {
 			continue
 		}
-		if !g.mayServeHere(current, instance) || g.evacuations.excludes(instance) || !g.coldStarts.allows(now, instance.ID) {
+		if !g.allowsRegionOf(current, instance) || g.evacuations.excludes(instance) || !g.coldStarts.allows(now, instance.ID) {
 			continue
 		}
 		if g.unreachable.paused(now, instance.ID) {
 			continue
 		}
 		if wait := g.signals.rest(now, instance.ID); wait > 0 {
-			current.noteResting(instance.ID, wait)
+			current.recordResting(instance.ID, wait)
 			continue
 		}
 		if since, leaves := g.signals.leaving(now, instance.ID); leaves {
@@ -193,13 +193,13 @@
 	if !found || instance.State == directory.InstanceDraining && !g.drains.mayServe(instance) {
 		return directory.Instance{}, fault.Newf(fault.NoOwner, "the holder of key %d leaves", current.key)
 	}
-	if !g.mayServeHere(current, instance) {
+	if !g.allowsRegionOf(current, instance) {
 		return directory.Instance{}, fault.Newf(fault.NoOwner, "the holder of key %d stands in a region that route or tenant do not allow", current.key)
 	}
 	if g.evacuations.excludesHolder(instance) {
 		return directory.Instance{}, fault.Newf(fault.NoOwner, "the zone of the holder of key %d is evacuated", current.key)
 	}
-	if failure := g.heldBack(current, instance); failure != nil {
+	if failure := g.checkHolder(current, instance); failure != nil {
 		return directory.Instance{}, failure
 	}
 	current.rangeFirst, current.layoutRevision = holding.First, layout.Revision
--- a/internal/gateway/coldstart.go
+++ b/internal/gateway/coldstart.go
@@ -20,8 +20,8 @@
 	return &coldStarts{limiter: warmup.NewLimiter(bounds)}
 }
 
-// note applies a new table.
-func (c *coldStarts) note(now time.Duration, table *routing.Table, known func(directory.InstanceID) bool) {
+// update applies a new table.
+func (c *coldStarts) update(now time.Duration, table *routing.Table, known func(directory.InstanceID) bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	for _, instance := range table.Changed {
--- a/internal/gateway/connectiontimes_test.go
+++ b/internal/gateway/connectiontimes_test.go
@@ -18,11 +18,11 @@
 // TestTimesOfLimits checks that connections are idle for as long as the operator sets, also if that is longer
 // than the default, plus idleSlack, so that no request crosses the close.
 func TestTimesOfLimits(t *testing.T) {
-	for limits, want := range map[directory.Limits]connectionTimes{
+	for limits, want := range map[directory.Limits]connectionTimeouts{
 		{}: {defaultHeaderTimeout, defaultIdleTimeout},
 		{HeaderTimeoutMs: 3000, IdleTimeoutMs: 60000}: {3 * time.Second, time.Minute + idleSlack},
 	} {
-		if got := timesOf(limits); got != want {
+		if got := timeoutsOf(limits); got != want {
 			t.Errorf("%+v: %+v, want %+v", limits, got, want)
 		}
 	}
@@ -44,7 +44,7 @@
 	}
 	server := gateway.newCallerServer()
 	var group conc.WaitGroup
-	group.Go(func() { _ = server.Serve(meteredListener{listener, streamTraffic{gateway.meter}}) })
+	group.Go(func() { _ = server.Serve(meteredListener{listener, connectionTraffic{gateway.meter}}) })
 	t.Cleanup(func() {
 		_ = server.Shutdown()
 		_ = listener.Close() // Shutdown leaves it open if Serve has not begun
@@ -66,7 +66,7 @@
 	if _, err := connection.Write([]byte(sent)); err != nil {
 		t.Fatal(err)
 	}
-	if err := connection.SetReadDeadline(began.Add(patience)); err != nil {
+	if err := connection.SetReadDeadline(began.Add(eventuallyTimeout)); err != nil {
 		t.Fatal(err)
 	}
 	answer, err := io.ReadAll(connection)
--- a/internal/gateway/demand.go
+++ b/internal/gateway/demand.go
@@ -22,25 +22,26 @@
 // The more gateways there are, the less often each reports the demand for keys, so that the leader receives at
 // most about 1,400 reports per second with up to 1,200 gateways.
 const (
-	shortestReport  = 200 * time.Millisecond
-	longestReport   = 850 * time.Millisecond
-	reportOfGateway = 700 * time.Microsecond
-	// aliveMargin is how much longer than the report interval a gateway with nothing to report may be silent.
-	aliveMargin = 150 * time.Millisecond
+	minReportInterval        = 200 * time.Millisecond
+	maxReportInterval        = 850 * time.Millisecond
+	reportIntervalPerGateway = 700 * time.Microsecond
+	// keepAliveMargin is how much longer than the report interval a gateway with nothing to report may be
+	// silent.
+	keepAliveMargin = 150 * time.Millisecond
 )
 
 // reportInterval returns the time between two reports of each gateway, by the number of gateways.
 func reportInterval(gateways int) time.Duration {
-	return min(max(shortestReport, time.Duration(gateways)*reportOfGateway), longestReport)
+	return min(max(minReportInterval, time.Duration(gateways)*reportIntervalPerGateway), maxReportInterval)
 }
 
 const (
-	// silentDemand is the idle timeout of the connection for reports: the leader sends nothing but answers to
-	// asks for tokens.
-	silentDemand = time.Hour
-	// unansweredAsk is how long the leader may leave an ask unanswered before the connection is closed: it may
-	// have failed silently.
-	unansweredAsk = time.Second
+	// demandIdleTimeout is the idle timeout of the connection for reports: the leader sends nothing but
+	// answers to asks for tokens.
+	demandIdleTimeout = time.Hour
+	// unansweredAskTimeout is how long the leader may leave an ask unanswered before the connection is
+	// closed: it may have failed silently.
+	unansweredAskTimeout = time.Second
 	// demandReadBuffer suffices for the tokens of several hundred tenants, in bytes.
 	demandReadBuffer = 4 << 10
 )
@@ -52,8 +53,8 @@
 	tenants      *tokens
 	instances    *tokens
 	guard        *crashwatch.Guard
-	// urgent gets an entry when a token is to be asked for at once.
-	urgent  chan struct{}
+	// askNow gets an entry when a token is to be asked for at once.
+	askNow  chan struct{}
 	options wire.Options
 	name    string
 	offer   heartbeat.GatewayOffer
@@ -69,19 +70,19 @@
 }
 
 func newDemandCounter(system clock.Clock, settings config.Gateway, subscription *subscription, meter *link.Meter) *demandCounter {
-	urgent := make(chan struct{}, 1)
+	askNow := make(chan struct{}, 1)
 	return &demandCounter{
-		subscription: subscription, urgent: urgent,
-		tenants:   newTokens(system, quota.TenantPolicy(), urgent),
-		instances: newTokens(system, quota.InstancePolicy(), urgent),
-		guard:     crashwatch.NewGuard(system, settings.Name, settings.QuarantineCrashes, urgent),
+		subscription: subscription, askNow: askNow,
+		tenants:   newTokens(system, quota.TenantPolicy(), askNow),
+		instances: newTokens(system, quota.InstancePolicy(), askNow),
+		guard:     crashwatch.NewGuard(system, settings.Name, settings.QuarantineCrashes, askNow),
 		services:  make(map[string]*serviceCounts), name: settings.Name,
 		offer:   offerOf(settings),
-		options: wire.Options{DialTimeout: settings.BackEnd.ConnectTimeout, WriteTimeout: settings.PongTimeout, IdleTimeout: silentDemand, ReadBufferBytes: demandReadBuffer, Passed: streamOf(meter, link.Demand)},
+		options: wire.Options{DialTimeout: settings.BackEnd.ConnectTimeout, WriteTimeout: settings.PongTimeout, IdleTimeout: demandIdleTimeout, ReadBufferBytes: demandReadBuffer, Passed: countAs(meter, link.Demand)},
 	}
 }
 
-func (d *demandCounter) of(service string) *serviceCounts {
+func (d *demandCounter) countsOf(service string) *serviceCounts {
 	counts, found := d.services[service]
 	if !found {
 		counts = &serviceCounts{keys: make(map[uint16]uint16), instances: make(map[directory.InstanceID]*heartbeat.InstanceReport)}
@@ -90,19 +91,19 @@
 	return counts
 }
 
-// arrived counts a request for a key.
-func (d *demandCounter) arrived(service string, key directory.Key) {
+// countArrival counts a request for a key.
+func (d *demandCounter) countArrival(service string, key directory.Key) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.of(service).keys[uint16(key)]++
+	d.countsOf(service).keys[uint16(key)]++
 }
 
-// answered counts an answer and its service time. Limit is the rate limit that the instance advertises, in
+// countAnswer counts an answer and its service time. Limit is the rate limit that the instance advertises, in
 // requests per second; zero for none.
-func (d *demandCounter) answered(service string, instance directory.InstanceID, took time.Duration, limit float64) {
+func (d *demandCounter) countAnswer(service string, instance directory.InstanceID, took time.Duration, limit float64) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	counts := d.of(service)
+	counts := d.countsOf(service)
 	report, found := counts.instances[instance]
 	if !found {
 		report = &heartbeat.InstanceReport{ID: instance}
@@ -140,7 +141,7 @@
 		if leader := d.subscription.leader.Load(); leader != nil {
 			d.reportTo(ctx, *leader)
 		}
-		clock.Sleep(ctx, shortestReport)
+		clock.Sleep(ctx, minReportInterval)
 	}
 }
 
@@ -148,7 +149,7 @@
 func (d *demandCounter) interval() time.Duration {
 	table := d.subscription.current()
 	if table == nil {
-		return shortestReport
+		return minReportInterval
 	}
 	return reportInterval(table.Gateways)
 }
@@ -176,12 +177,12 @@
 	})
 	d.guard.Connected()
 	var sent reportsSent
-	for ctx.Err() == nil && *d.subscription.leader.Load() == leader && d.unanswered() < unansweredAsk {
+	for ctx.Err() == nil && *d.subscription.leader.Load() == leader && d.unanswered() < unansweredAskTimeout {
 		report := d.nextReport(&sent)
 		if report != nil && connection.Send(ctx, report) != nil {
 			return
 		}
-		d.pause(ctx, sent)
+		d.waitForNext(ctx, sent)
 	}
 }
 
@@ -213,21 +214,21 @@
 	report.AskForInstances(d.instances.asks())
 	report.Quarantine = d.guard.Report()
 	silent := len(report.Services) == 0 && report.Gateway == nil && !report.Asks()
-	if silent && now.Sub(sent.at) <= d.interval()+aliveMargin {
+	if silent && now.Sub(sent.at) <= d.interval()+keepAliveMargin {
 		return nil
 	}
 	sent.at = now
 	return &report
 }
 
-// pause waits for the next interval, or until a token is to be asked for at once.
-func (d *demandCounter) pause(ctx context.Context, sent reportsSent) {
+// waitForNext waits for the next interval, or until a token is to be asked for at once.
+func (d *demandCounter) waitForNext(ctx context.Context, sent reportsSent) {
 	timer := time.NewTimer(d.interval() - time.Since(sent.countedAt))
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-d.urgent:
+	case <-d.askNow:
 	}
 }
 
@@ -239,10 +240,10 @@
 			return
 		}
 		if len(answer.Grants) > 0 {
-			d.tenants.answered(answer.Grants)
+			d.tenants.applyGrants(answer.Grants)
 		}
 		if len(answer.Instances) > 0 {
-			d.instances.answered(answer.Instances)
+			d.instances.applyGrants(answer.Instances)
 		}
 		d.guard.Acknowledge(answer.Heard)
 	}
@@ -260,7 +261,7 @@
 // offerOf returns what a gateway offers to other gateways.
 func offerOf(settings config.Gateway) heartbeat.GatewayOffer {
 	offer := heartbeat.GatewayOffer{Zone: settings.Zone, Megabits: settings.LinkMegabits}
-	if takesPart(settings) {
+	if usesPlaces(settings) {
 		offer.Address = settings.PeerAddress
 	}
 	return offer
--- a/internal/gateway/drain.go
+++ b/internal/gateway/drain.go
@@ -12,19 +12,19 @@
 
 // drains records since when each instance has been draining. It is safe for concurrent use.
 type drains struct {
-	clock   clock.Clock
-	allowed time.Duration
-	mutex   sync.Mutex
+	clock clock.Clock
+	limit time.Duration
+	mutex sync.Mutex
 	// since has readings of the clock.
 	since map[directory.InstanceID]time.Duration
 }
 
-func newDrains(system clock.Clock, allowed time.Duration) *drains {
-	return &drains{clock: system, allowed: allowed, since: make(map[directory.InstanceID]time.Duration)}
+func newDrains(system clock.Clock, limit time.Duration) *drains {
+	return &drains{clock: system, limit: limit, since: make(map[directory.InstanceID]time.Duration)}
 }
 
-// note applies a new table.
-func (d *drains) note(table *routing.Table) {
+// update applies a new table.
+func (d *drains) update(table *routing.Table) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if table.Whole {
@@ -46,5 +46,5 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	since, found := d.since[instance.ID]
-	return found && d.clock.Now()-since < d.allowed
+	return found && d.clock.Now()-since < d.limit
 }
--- a/internal/gateway/evacuation.go
+++ b/internal/gateway/evacuation.go
@@ -21,8 +21,8 @@
 	evacuationMargin = 1200 * time.Millisecond
 )
 
-// evacuatedBefore is the start time of zones that are already evacuated in the first table.
-const evacuatedBefore = time.Duration(math.MinInt64 / 2)
+// evacuatedBeforeStart is the start time of zones that are already evacuated in the first table.
+const evacuatedBeforeStart = time.Duration(math.MinInt64 / 2)
 
 // evacuations records since when this gateway has known each zone as evacuated. It is safe for concurrent use.
 type evacuations struct {
@@ -32,17 +32,17 @@
 	mutex sync.Mutex
 	// since has the evacuated zones, with readings of the clock.
 	since map[string]time.Duration
-	// noted is true once a table was applied. Zones that are evacuated in the first table may have been so for
-	// a long time.
-	noted bool
+	// updated is true once a table was applied. Zones that are evacuated in the first table may have been
+	// so for a long time.
+	updated bool
 }
 
 func newEvacuations(system clock.Clock, limit time.Duration) *evacuations {
 	return &evacuations{clock: system, limit: limit, since: make(map[string]time.Duration)}
 }
 
-// note applies a new table.
-func (e *evacuations) note(table *routing.Table) {
+// update applies a new table.
+func (e *evacuations) update(table *routing.Table) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	earlier := e.since
@@ -51,14 +51,14 @@
 		since, found := earlier[zone]
 		switch {
 		case found:
-		case e.noted:
+		case e.updated:
 			since = e.clock.Now()
 		default:
-			since = evacuatedBefore
+			since = evacuatedBeforeStart
 		}
 		e.since[zone] = since
 	}
-	e.noted = true
+	e.updated = true
 }
 
 // excludes reports whether an instance gets no more requests that other instances can serve as well.
--- a/internal/gateway/evacuation_test.go
+++ b/internal/gateway/evacuation_test.go
@@ -14,8 +14,8 @@
 // evacuated when it starts.
 func TestEvacuatedZoneIsLeft(t *testing.T) {
 	e := newEvacuations(testClock, 5*time.Second)
-	e.note(&routing.Table{})
-	e.note(&routing.Table{Evacuated: []string{"west"}})
+	e.update(&routing.Table{})
+	e.update(&routing.Table{Evacuated: []string{"west"}})
 	holder := directory.Instance{ID: "h", Zone: "west"}
 	if e.excludesHolder(holder) || e.excludes(directory.Instance{ID: "h", Zone: "east"}) {
 		t.Error("holders must get requests until their keys have moved, and other zones must not be excluded")
@@ -35,12 +35,12 @@
 	if !e.excludes(holder) || !e.excludesHolder(holder) {
 		t.Error("all instances of the zone must be excluded after the limit")
 	}
-	e.note(&routing.Table{})
+	e.update(&routing.Table{})
 	if e.excludes(holder) || e.excludesHolder(holder) {
 		t.Error("a restored zone must get requests")
 	}
 	started := newEvacuations(testClock, 5*time.Second)
-	started.note(&routing.Table{Evacuated: []string{"west"}})
+	started.update(&routing.Table{Evacuated: []string{"west"}})
 	if !started.excludes(holder) || !started.excludesHolder(holder) {
 		t.Error("a gateway that starts must send nothing to an evacuated zone")
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -49,7 +49,7 @@
 	coldStarts  *coldStarts
 	ownLink     *ownLink
 	meter       *link.Meter
-	places      *places
+	places      *placeClient
 	pacer       *pacer
 	callers     *callers
 	demand      *demandCounter
@@ -59,8 +59,8 @@
 	instanceTokens *tokens
 	registry       *telemetry.Metrics
 	metrics        *metrics
-	// slots wakes waiting requests when an attempt ends.
-	slots *broadcast.Broadcast
+	// attemptEnded wakes waiting requests when an attempt ends.
+	attemptEnded *broadcast.Broadcast
 
 	budgetLock sync.Mutex
 	budgets    map[string]*retry.Budget
@@ -71,12 +71,12 @@
 	connections atomic.Int64
 	// accepted counts all connections that callers have opened.
 	accepted atomic.Int64
-	// resting has the callers' connections without a request.
-	resting *restingConnections
+	// idleCallers has the callers' connections without a request.
+	idleCallers *idleConnections
 	// stopping is set once a stop began; each answer then closes its connection.
 	stopping atomic.Bool
-	// stopEnd is the clock reading at which a stop ends, set once StopNotice has passed.
-	stopEnd atomic.Pointer[time.Duration]
+	// stopDeadline is the clock reading at which a stop ends, set once StopNotice has passed.
+	stopDeadline atomic.Pointer[time.Duration]
 }
 
 // Options are optional parts that the caller of Run may set.
@@ -119,7 +119,7 @@
 		splitter:     routing.NewSplitter(),
 		balancer:     balance.New(balanceSettings(settings)),
 		regions:      regionsOf(settings),
-		upstreams:    newUpstreams(settings.BackEnd, dialect, streamTraffic{meter}),
+		upstreams:    newUpstreams(settings.BackEnd, dialect, connectionTraffic{meter}),
 		drains:       newDrains(system, settings.DrainTime),
 		rejections:   newRejections(system),
 		unreachable:  newUnreachable(),
@@ -129,9 +129,9 @@
 		meter:        meter,
 		coldStarts:   newColdStarts(warmUpBounds(settings)),
 		callers:      newCallers(),
-		resting:      newRestingConnections(),
+		idleCallers:  newIdleConnections(),
 		registry:     telemetry.NewMetrics(role),
-		slots:        broadcast.New(),
+		attemptEnded: broadcast.New(),
 		budgets:      make(map[string]*retry.Budget),
 		resendBurst:  float64(settings.RetryBurst),
 	}
@@ -142,10 +142,10 @@
 	gateway.guard = gateway.demand.guard
 	gateway.crashes = crashwatch.NewWatch(system, log, gateway.guard.Crashed)
 	gateway.guard.RegisterMetrics(gateway.registry)
-	gateway.subscription.joined = gateway.guard.SetSecret
+	gateway.subscription.onCluster = gateway.guard.SetSecret
 	gateway.tenantTokens, gateway.instanceTokens = gateway.demand.tenants, gateway.demand.instances
-	gateway.subscription.changed = gateway.tableChanged
-	gateway.places = newPlaces(system, settings, log, newPlaceKeeper(system, gateway.mayKeep), meter)
+	gateway.subscription.onTable = gateway.tableChanged
+	gateway.places = newPlaceClient(system, settings, log, newPlaceKeeper(system, gateway.usableByKeeper), meter)
 	return gateway, nil
 }
 
@@ -155,22 +155,22 @@
 
 // tableChanged updates the state that is kept per instance after a new table.
 func (g *Gateway) tableChanged(table *routing.Table) {
-	g.boundResends(table.Gateways)
-	g.drains.note(table)
-	g.evacuations.note(table)
-	g.noteEnded(table)
+	g.updateResendBurst(table.Gateways)
+	g.drains.update(table)
+	g.evacuations.update(table)
+	g.checkCrashes(table)
 	g.guard.SetSuspects(table.Suspects)
 	known := table.Knows
-	g.coldStarts.note(g.clock.Now(), table, known)
+	g.coldStarts.update(g.clock.Now(), table, known)
 	g.unreachable.forget(known)
 	g.signals.forget(known)
 	g.balancer.Forget(known)
 	g.upstreams.forget(known)
-	g.places.note(table)
+	g.places.update(table)
 }
 
-// boundResends adjusts the burst of the resend budgets to the number of gateways.
-func (g *Gateway) boundResends(gateways int) {
+// updateResendBurst adjusts the burst of the resend budgets to the number of gateways.
+func (g *Gateway) updateResendBurst(gateways int) {
 	g.budgetLock.Lock()
 	defer g.budgetLock.Unlock()
 	burst := retry.BurstOf(g.settings.RetrySlack, gateways, g.settings.RetryBurst)
@@ -227,7 +227,7 @@
 	adminServer := &fasthttp.Server{Handler: telemetry.Handler(g.registry, g.ready), Name: role}
 	var group conc.WaitGroup
 	failed := make(chan error, 3)
-	group.Go(func() { failed <- callerServer.Serve(meteredListener{callers, streamTraffic{g.meter}}) })
+	group.Go(func() { failed <- callerServer.Serve(meteredListener{callers, connectionTraffic{g.meter}}) })
 	group.Go(func() { failed <- adminServer.Serve(admin) })
 	metricsServer := g.serveMetrics(&group)
 	group.Go(func() { g.subscription.run(background) })
@@ -247,14 +247,14 @@
 		_ = callers.Close()
 	}
 	stopBackground()
-	endServers(adminServer, metricsServer)
+	shutDownServers(adminServer, metricsServer)
 	group.Wait()
 	return err
 }
 
 // servePeers serves the directory to other gateways, and follows theirs while no controller answers.
 func (g *Gateway) servePeers(ctx context.Context, group *conc.WaitGroup) {
-	group.Go(func() { g.subscription.runPeers(ctx) })
+	group.Go(func() { g.subscription.followPeers(ctx) })
 	if g.settings.PeerAddress == "" {
 		return
 	}
@@ -270,8 +270,9 @@
 	})
 }
 
-// endServers stops the servers of health checks and metrics. It waits only briefly for their open connections.
-func endServers(servers ...*fasthttp.Server) {
+// shutDownServers stops the servers of health checks and metrics. It waits only briefly for their open
+// connections.
+func shutDownServers(servers ...*fasthttp.Server) {
 	bounded, cancel := context.WithTimeout(context.Background(), stopMargin/2)
 	defer cancel()
 	for _, server := range servers {
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -48,26 +48,26 @@
 // rejected range is excluded for a while or until the layout changes; other ranges of the holder only once it
 // has rejected several.
 func TestRejectedRangeIsNotAskedFor(t *testing.T) {
-	l := newRejections(testClock)
-	if !l.mayAsk("a", 0, 7) {
+	r := newRejections(testClock)
+	if !r.mayAsk("a", 0, 7) {
 		t.Error("holder without rejections must stay selectable")
 	}
-	l.note("a", 0, 7)
-	if l.mayAsk("a", 0, 7) || !l.mayAsk("a", 100, 7) || !l.mayAsk("b", 0, 7) {
+	r.record("a", 0, 7)
+	if r.mayAsk("a", 0, 7) || !r.mayAsk("a", 100, 7) || !r.mayAsk("b", 0, 7) {
 		t.Error("only the rejected range of the holder that rejected it must be left out")
 	}
-	for first := range directory.Key(rejectionsOfAll) {
-		l.note("a", first*10, 7)
+	for first := range directory.Key(maxRejectedRanges) {
+		r.record("a", first*10, 7)
 	}
-	if l.mayAsk("a", 100, 7) {
+	if r.mayAsk("a", 100, 7) {
 		t.Error("a holder that rejected several ranges must be left out")
 	}
-	if !l.mayAsk("a", 0, 8) || !l.mayAsk("a", 100, 8) {
+	if !r.mayAsk("a", 0, 8) || !r.mayAsk("a", 100, 8) {
 		t.Error("under another layout it must be selectable")
 	}
-	l.note("a", 0, 8)
+	r.record("a", 0, 8)
 	time.Sleep(rejectionPause + 20*time.Millisecond)
-	if !l.mayAsk("a", 0, 8) {
+	if !r.mayAsk("a", 0, 8) {
 		t.Error("after a while it must be selectable")
 	}
 }
@@ -92,10 +92,10 @@
 func TestDemandIsToldOnce(t *testing.T) {
 	d := &demandCounter{services: make(map[string]*serviceCounts)}
 	for _, key := range []directory.Key{0, 0, 16, 65535} {
-		d.arrived("s", key)
+		d.countArrival("s", key)
 	}
-	d.answered("s", "a", 30*time.Millisecond, 0)
-	d.answered("s", "a", 50*time.Millisecond, 0)
+	d.countAnswer("s", "a", 30*time.Millisecond, 0)
+	d.countAnswer("s", "a", 50*time.Millisecond, 0)
 	report := d.take()
 	if len(report.Services) != 1 || len(report.Services[0].Keys) != 3 {
 		t.Fatalf("report %+v", report)
@@ -104,8 +104,8 @@
 	if first < 0 || report.Services[0].Counts[first] != 2 {
 		t.Errorf("keys %v, counts %v", report.Services[0].Keys, report.Services[0].Counts)
 	}
-	if told := report.Services[0].Instances; len(told) != 1 || told[0].Answered != 2 || told[0].BusyMs != 80 {
-		t.Errorf("instances %+v", told)
+	if reported := report.Services[0].Instances; len(reported) != 1 || reported[0].Answered != 2 || reported[0].BusyMs != 80 {
+		t.Errorf("instances %+v", reported)
 	}
 	if again := d.take(); len(again.Services) != 0 {
 		t.Errorf("reported again: %+v", again)
@@ -168,7 +168,7 @@
 			t.Fatal(err)
 		}
 		changes := view.RoutingSince(0)
-		if err := s.take(message.DirectoryUpdate{Cluster: message.ClusterID(host), Changes: &changes}); err != nil {
+		if err := s.apply(message.DirectoryUpdate{Cluster: message.ClusterID(host), Changes: &changes}); err != nil {
 			t.Fatal(err)
 		}
 		if _, found := s.current().Route(host, "/"); !found {
@@ -189,13 +189,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if wait := gateway.retryAfterOf(fault.StaleRouter); wait != retryOutage {
+	if wait := gateway.retryAfterOf(fault.StaleRouter); wait != retryAfterOutage {
 		t.Errorf("without a controller callers retry after %s", wait)
 	}
 	controller := startStub(t)
 	gateway.subscription.controllers = []string{controller.address}
 	runInBackground(t, gateway.subscription.run)
-	eventually(t, "the controller is reached", func() bool { return gateway.retryAfterOf(fault.StaleRouter) == retryElsewhere })
+	eventually(t, "the controller is reached", func() bool { return gateway.retryAfterOf(fault.StaleRouter) == retryAfterNoDirectory })
 	if wait := gateway.retryAfterOf(fault.NoOwner); wait != retryAfter {
 		t.Errorf("for keys that move callers retry after %s", wait)
 	}
@@ -208,7 +208,7 @@
 	for _, c := range []struct{ unknown, last, want *fault.Error }{
 		{nil, full, full}, {lost, full, lost}, {lost, late, late}, {nil, late, late},
 	} {
-		if got := truthful(c.unknown, c.last); got != c.want {
+		if got := overallFailure(c.unknown, c.last); got != c.want {
 			t.Errorf("after %v and %v: %v", c.unknown, c.last, got)
 		}
 	}
@@ -220,7 +220,7 @@
 func TestKeyedRequestsAreSentAgainWhereThereIsRoom(t *testing.T) {
 	settings := config.DefaultGateway()
 	settings.Name, settings.Seeds = "g", []string{"127.0.0.1:1"}
-	gateway, err := New(settings, quiet(), Options{})
+	gateway, err := New(settings, discardLog(), Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -232,7 +232,7 @@
 		current.keyed, current.route.MaxAttempts, current.answer = true, 2, &fasthttp.Response{}
 		gateway.balancer.TryBegin(gateway.clock.Now(), holder, 1000)
 		current.attempts = append(current.attempts, holder.ID)
-		current.rejectedWithRoom = gateway.hasRoom(current)
+		current.rejectedWithCapacity = gateway.hasCapacity(current)
 		return current
 	}
 	returnsAfter := func(current *request) string {
--- a/internal/gateway/home.go
+++ b/internal/gateway/home.go
@@ -20,75 +20,75 @@
 // gateway: without it, 919 of 985 gateways stayed with one of ten controllers.
 
 const (
-	// homeSoonest and homeLatest bound the delay before a gateway switches, over which gateways that start
+	// minHomeDelay and maxHomeDelay bound the delay before a gateway switches, over which gateways that start
 	// together are spread.
-	homeSoonest = time.Second
-	homeLatest  = 3 * time.Second
-	// homeAgain is the additional delay after a home controller did not answer.
-	homeAgain = 30 * time.Second
+	minHomeDelay = time.Second
+	maxHomeDelay = 3 * time.Second
+	// homeRetryDelay is the additional delay after a home controller did not answer.
+	homeRetryDelay = 30 * time.Second
 )
 
-var errGoesHome = eris.New("another controller is the home controller of this gateway")
+var errSwitchToHome = eris.New("another controller is the home controller of this gateway")
 
-// homing decides when a gateway switches to its home controller. It is not safe for concurrent use.
-type homing struct {
-	// due is the time of the switch; zero while there is no reason for one.
-	due time.Time
+// homeSwitch decides when a gateway switches to its home controller. It is not safe for concurrent use.
+type homeSwitch struct {
+	// dueAt is the time of the switch; zero while there is no reason for one.
+	dueAt time.Time
 	// tried is true once a switch was tried.
 	tried bool
 }
 
-// look takes whether the current stream is that of another controller than the home controller, and reports
-// whether to switch now. Random is a number in [0, 1).
-func (h *homing) look(now time.Time, away bool, random float64) bool {
-	if !away {
-		*h = homing{}
+// due reports whether to switch now. OtherController is true if the current stream is not that of the home
+// controller. Random is a number in [0, 1).
+func (h *homeSwitch) due(now time.Time, otherController bool, random float64) bool {
+	if !otherController {
+		*h = homeSwitch{}
 		return false
 	}
-	if h.due.IsZero() {
-		wait := homeSoonest + time.Duration(random*float64(homeLatest-homeSoonest))
+	if h.dueAt.IsZero() {
+		wait := minHomeDelay + time.Duration(random*float64(maxHomeDelay-minHomeDelay))
 		if h.tried {
-			wait += homeAgain
+			wait += homeRetryDelay
 		}
-		h.due = now.Add(wait)
+		h.dueAt = now.Add(wait)
 	}
-	if now.Before(h.due) {
+	if now.Before(h.dueAt) {
 		return false
 	}
-	h.due, h.tried = time.Time{}, true
+	h.dueAt, h.tried = time.Time{}, true
 	return true
 }
 
-// hearOfControllers receives the first update of a controller, which names the others, and returns errGoesHome
-// if another one is the home controller. The whole directory is only sent after the first ping, so that only
-// the home controller sends it.
-func (s *subscription) hearOfControllers(connection *wire.Conn, from source) error {
+// receiveControllers receives the first update of a controller, which names the others, and returns
+// errSwitchToHome if another one is the home controller. The whole directory is only sent after the first
+// ping, so that only the home controller sends it.
+func (s *subscription) receiveControllers(connection *wire.Conn, from source) error {
 	var update message.DirectoryUpdate
 	if err := connection.Receive(&update); err != nil {
 		return err
 	}
-	if err := s.take(update); err != nil {
+	if err := s.apply(update); err != nil {
 		return err
 	}
 	s.viewLock.Lock()
 	defer s.viewLock.Unlock()
 	home := s.home(s.controllers)
-	if s.homing.tried || home == "" || home == from.address {
+	if s.homeSwitch.tried || home == "" || home == from.address {
 		return nil
 	}
-	s.homing.tried = true
-	return errGoesHome
+	s.homeSwitch.tried = true
+	return errSwitchToHome
 }
 
-// goesHome reports whether to switch from a controller's stream to that of the home controller.
-func (s *subscription) goesHome(from source) bool {
+// shouldSwitchHome reports whether to switch from a controller's stream to that of the home controller.
+func (s *subscription) shouldSwitchHome(from source) bool {
 	if from.peer {
 		return false
 	}
 	s.viewLock.Lock()
 	defer s.viewLock.Unlock()
 	home := s.home(s.controllers)
-	return s.homing.look(time.Now(), home != "" && home != from.address, rand.Float64())
+	return s.homeSwitch.due(time.Now(), home != "" && home != from.address, rand.Float64())
 }
 
 // home returns the home controller of this gateway.
--- a/internal/gateway/home_test.go
+++ b/internal/gateway/home_test.go
@@ -72,14 +72,14 @@
 	began := time.Unix(0, 0)
 	var within [3]int
 	for range 600 {
-		var h homing
+		var h homeSwitch
 		var moves []time.Duration
 		for elapsed := time.Duration(0); elapsed < 30*time.Second; elapsed += 500 * time.Millisecond {
-			if h.look(began.Add(elapsed), true, random.Float64()) {
+			if h.due(began.Add(elapsed), true, random.Float64()) {
 				moves = append(moves, elapsed)
 			}
 		}
-		if len(moves) == 0 || moves[0] < homeSoonest || moves[0] > homeLatest+time.Second {
+		if len(moves) == 0 || moves[0] < minHomeDelay || moves[0] > maxHomeDelay+time.Second {
 			t.Fatalf("switches after %s", moves)
 		}
 		if len(moves) > 2 {
@@ -92,10 +92,10 @@
 			t.Errorf("%d of 600 gateways switch in second %d", count, second+1)
 		}
 	}
-	var h homing
-	h.look(began, true, 0.5)
-	h.look(began, false, 0.5)
-	if h.look(began.Add(time.Minute), false, 0.5) || h.look(began.Add(time.Minute), true, 0.5) {
+	var h homeSwitch
+	h.due(began, true, 0.5)
+	h.due(began, false, 0.5)
+	if h.due(began.Add(time.Minute), false, 0.5) || h.due(began.Add(time.Minute), true, 0.5) {
 		t.Error("switches at once after the stream was that of the home controller")
 	}
 }
@@ -111,7 +111,7 @@
 		other.controllers = seed.controllers
 		var atSeed int64
 		for number := range gateways {
-			s := newSubscription(testClock, config.DefaultGateway(), quiet(), nil, &link.Meter{})
+			s := newSubscription(testClock, config.DefaultGateway(), discardLog(), nil, &link.Meter{})
 			s.settings.Name, s.settings.Address = fmt.Sprintf("gateway-%d", number), fmt.Sprintf("127.0.0.1:%d", 10000+number)
 			seedOnly := seed.address
 			s.settings.Seeds, s.settings.ControllerPort = []string{seedOnly}, portOf(t, seedOnly)
@@ -121,13 +121,13 @@
 			runInBackground(t, s.run)
 			eventually(t, "the directory came", func() bool { return s.current() != nil && s.confirmed() })
 		}
-		if sent := seed.wholes.Load(); sent != atSeed || other.wholes.Load() != int64(gateways)-atSeed {
-			t.Errorf("%d gateways: the seed sent %d directories, the other controller %d; the seed is the home controller of %d", gateways, sent, other.wholes.Load(), atSeed)
+		if sent := seed.wholeDirectories.Load(); sent != atSeed || other.wholeDirectories.Load() != int64(gateways)-atSeed {
+			t.Errorf("%d gateways: the seed sent %d directories, the other controller %d; the seed is the home controller of %d", gateways, sent, other.wholeDirectories.Load(), atSeed)
 		}
 	}
 	seed := startStub(t)
 	seed.controllers = []string{down}
-	s := newSubscription(testClock, config.DefaultGateway(), quiet(), nil, &link.Meter{})
+	s := newSubscription(testClock, config.DefaultGateway(), discardLog(), nil, &link.Meter{})
 	s.settings.Name, s.settings.Address = "g", "127.0.0.1:10000"
 	s.settings.Seeds, s.settings.ControllerPort = []string{seed.address}, portOf(t, seed.address)
 	runInBackground(t, s.run)
--- a/internal/gateway/link.go
+++ b/internal/gateway/link.go
@@ -35,8 +35,8 @@
 	return link.Request{Now: g.clock.Now(), Route: current.route.Name, Target: target, Deadline: current.deadline - current.arrived, Urgency: current.urgency, Bulk: current.route.Kind == directory.Download}
 }
 
-// admit admits a request to the link, or returns why not.
-func (g *Gateway) admit(current *request) error {
+// admitToLink admits a request to the link, or returns why not.
+func (g *Gateway) admitToLink(current *request) error {
 	g.ownLink.mutex.Lock()
 	defer g.ownLink.mutex.Unlock()
 	admission := g.ownLink.admission
@@ -55,10 +55,10 @@
 	return g.ownLink.admission.Full(g.linkRequest(current))
 }
 
-// leaveLink replaces the reservation of an admitted request by the bytes that it took.
-func (g *Gateway) leaveLink(current *request, served bool) {
+// settleLink replaces the reservation of an admitted request by the bytes that it took.
+func (g *Gateway) settleLink(current *request, served bool) {
 	took := float64(len(current.answer.Body()) + messageOverhead)
-	took += float64(current.sendings() * (len(current.inbound.Body()) + messageOverhead))
+	took += float64(current.sentAttempts() * (len(current.inbound.Body()) + messageOverhead))
 	g.ownLink.mutex.Lock()
 	defer g.ownLink.mutex.Unlock()
 	g.ownLink.admission.Done(g.linkRequest(current), current.reserved, took, served && current.answer.StatusCode() < fasthttp.StatusBadRequest)
--- a/internal/gateway/linkbytes.go
+++ b/internal/gateway/linkbytes.go
@@ -20,20 +20,20 @@
 	busiestInterval = time.Second
 )
 
-// streamTraffic counts the bytes of connections that carry requests.
-type streamTraffic struct{ meter *link.Meter }
+// connectionTraffic counts the bytes of connections that carry requests.
+type connectionTraffic struct{ meter *link.Meter }
 
 // Opened implements forward.Traffic.
-func (t streamTraffic) Opened() { t.meter.Opened() }
+func (t connectionTraffic) Opened() { t.meter.Opened() }
 
 // Passed implements forward.Traffic.
-func (t streamTraffic) Passed(received, sent int) {
+func (t connectionTraffic) Passed(received, sent int) {
 	t.meter.AddStream(link.In, received)
 	t.meter.AddStream(link.Out, sent)
 }
 
-// streamOf returns a function that counts all bytes of a connection as one kind.
-func streamOf(meter *link.Meter, kind link.Kind) func(received, sent int) {
+// countAs returns a function that counts all bytes of a connection as one kind.
+func countAs(meter *link.Meter, kind link.Kind) func(received, sent int) {
 	return func(received, sent int) {
 		meter.Add(link.In, kind, received)
 		meter.Add(link.Out, kind, sent)
@@ -43,7 +43,7 @@
 // meteredListener counts the bytes of callers' connections.
 type meteredListener struct {
 	net.Listener
-	traffic streamTraffic
+	traffic connectionTraffic
 }
 
 // Accept implements net.Listener.
@@ -63,11 +63,11 @@
 // meteredConnection is a caller's connection whose bytes are counted.
 type meteredConnection struct {
 	*net.TCPConn
-	traffic streamTraffic
+	traffic connectionTraffic
 	// turn waits for the turn to send bytes of the answer; nil for none.
 	turn func(bytes int)
-	// wait overrides the deadlines of the waits for the caller.
-	wait waitBound
+	// readDeadline overrides the deadlines of the waits for the caller.
+	readDeadline readDeadlineOverride
 }
 
 // The callers type peeks at the connection through syscall.Conn.
@@ -107,9 +107,9 @@
 
 // linkReport collects the bytes on the link for the log.
 type linkReport struct {
-	meter  *link.Meter
-	told   [2]map[link.Kind]int64
-	second [2]map[link.Kind]int64
+	meter   *link.Meter
+	logged  [2]map[link.Kind]int64
+	sampled [2]map[link.Kind]int64
 	// busiest is the largest number of bytes of each kind within one second.
 	busiest [2]map[link.Kind]int64
 }
@@ -117,20 +117,20 @@
 func newLinkReport(meter *link.Meter) *linkReport {
 	report := &linkReport{meter: meter}
 	for _, direction := range link.Directions() {
-		report.told[direction] = make(map[link.Kind]int64)
-		report.second[direction] = make(map[link.Kind]int64)
+		report.logged[direction] = make(map[link.Kind]int64)
+		report.sampled[direction] = make(map[link.Kind]int64)
 		report.busiest[direction] = make(map[link.Kind]int64)
 	}
 	return report
 }
 
-// look records the counts of the past second.
-func (r *linkReport) look() {
+// sample records the counts of the past second.
+func (r *linkReport) sample() {
 	for _, direction := range link.Directions() {
 		for _, kind := range link.Kinds() {
 			total := r.meter.Total(direction, kind)
-			passed := total - r.second[direction][kind]
-			r.second[direction][kind] = total
+			passed := total - r.sampled[direction][kind]
+			r.sampled[direction][kind] = total
 			r.busiest[direction][kind] = max(r.busiest[direction][kind], passed)
 		}
 	}
@@ -144,11 +144,11 @@
 		bytes, busiest := make(map[string]int64), make(map[string]int64)
 		for _, kind := range link.Kinds() {
 			total := r.meter.Total(direction, kind)
-			if passed := total - r.told[direction][kind]; passed > 0 {
+			if passed := total - r.logged[direction][kind]; passed > 0 {
 				bytes[kind.String()] = passed
 				busiest[kind.String()] = r.busiest[direction][kind]
 			}
-			r.told[direction][kind] = total
+			r.logged[direction][kind] = total
 			r.busiest[direction][kind] = 0
 		}
 		fields[direction.String()] = bytes
@@ -161,17 +161,17 @@
 func (g *Gateway) reportLinkBytes(ctx context.Context) {
 	report := newLinkReport(g.meter)
 	began := time.Now()
-	tell := func() {
+	logBytes := func() {
 		telemetry.With(g.log, telemetry.EventLinkBytes).WithField(telemetry.FieldDuration, time.Since(began).Milliseconds()).
-			WithFields(report.take()).WithField("places", g.places.takeAsked()).Info("bytes on the network link")
+			WithFields(report.take()).WithField("places", g.places.takeCounts()).Info("bytes on the network link")
 		began = time.Now()
 	}
 	clock.Every(ctx, busiestInterval, func() {
-		report.look()
+		report.sample()
 		if time.Since(began) >= linkBytesInterval {
-			tell()
+			logBytes()
 		}
 	})
-	report.look()
-	tell()
+	report.sample()
+	logBytes()
 }
--- a/internal/gateway/outbox.go
+++ b/internal/gateway/outbox.go
@@ -14,14 +14,14 @@
 
 func newOutbox[T any]() *outbox[T] { return &outbox[T]{wake: make(chan struct{}, 1)} }
 
-// mostInOutbox bounds the items that wait for a stalled connection; further ones are dropped.
-const mostInOutbox = 4096
+// maxOutboxItems bounds the items that wait for a stalled connection; further ones are dropped.
+const maxOutboxItems = 4096
 
 // add queues items. It does not block.
 func (o *outbox[T]) add(more []T) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	if len(o.waiting)+len(more) > mostInOutbox {
+	if len(o.waiting)+len(more) > maxOutboxItems {
 		return
 	}
 	o.waiting = append(o.waiting, more...)
--- a/internal/gateway/pacer.go
+++ b/internal/gateway/pacer.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// smallWrite is the size in bytes up to which data is sent without a turn: headers, rejections and
+	// maxUnpacedBytes is the size in bytes up to which data is sent without a turn: headers, rejections and
 	// requests without a body take little of the link, and much depends on them.
-	smallWrite = 700
-	// largestTurn is the largest part of an answer or a body that is sent in one turn, so that a long one
+	maxUnpacedBytes = 700
+	// maxTurnBytes is the largest part of an answer or a body that is sent in one turn, so that a long one
 	// delays the others by at most about 30 ms at 2 Mbit/s.
-	largestTurn = 8 << 10
+	maxTurnBytes = 8 << 10
 )
 
 // pacer sends answers and bodies in the order of a link.Schedule. It is safe for concurrent use.
@@ -22,40 +22,40 @@
 	clock    clock.Clock
 	mutex    sync.Mutex
 	schedule *link.Schedule
-	// leave has a channel for each waiting turn, which is closed when the turn is due.
-	leave map[*link.Turn]chan struct{}
-	timer *time.Timer
+	// granted has a channel for each waiting turn, which is closed when the turn is due.
+	granted map[*link.Turn]chan struct{}
+	timer   *time.Timer
 }
 
 func newPacer(system clock.Clock, megabits float64) *pacer {
-	p := &pacer{clock: system, schedule: link.NewSchedule(megabits), leave: make(map[*link.Turn]chan struct{})}
-	p.timer = time.AfterFunc(time.Hour, p.due)
+	p := &pacer{clock: system, schedule: link.NewSchedule(megabits), granted: make(map[*link.Turn]chan struct{})}
+	p.timer = time.AfterFunc(time.Hour, p.releaseDue)
 	return p
 }
 
 // wait returns once the bytes of a request may be sent.
-func (p *pacer) wait(bytes int, like link.Turn) {
+func (p *pacer) wait(bytes int, template link.Turn) {
 	p.mutex.Lock()
 	now := p.clock.Now()
-	if bytes <= smallWrite {
+	if bytes <= maxUnpacedBytes {
 		p.schedule.Passed(now, bytes)
 		p.mutex.Unlock()
 		return
 	}
-	turn := &like
+	turn := &template
 	turn.Bytes = bytes
 	if p.schedule.Ask(now, turn) {
 		p.mutex.Unlock()
 		return
 	}
-	leave := make(chan struct{})
-	p.leave[turn] = leave
+	granted := make(chan struct{})
+	p.granted[turn] = granted
 	p.release(now)
 	p.mutex.Unlock()
-	<-leave
+	<-granted
 }
 
-func (p *pacer) due() {
+func (p *pacer) releaseDue() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.release(p.clock.Now())
@@ -71,14 +71,14 @@
 			}
 			return
 		}
-		close(p.leave[turn])
-		delete(p.leave, turn)
+		close(p.granted[turn])
+		delete(p.granted, turn)
 	}
 }
 
-// turnOf returns a function that waits for a turn for bytes of a request or its answer, of the given total
+// turnFunc returns a function that waits for a turn for bytes of a request or its answer, of the given total
 // size.
-func (p *pacer) turnOf(current *request, size int) func(bytes int) {
+func (p *pacer) turnFunc(current *request, size int) func(bytes int) {
 	turn := link.Turn{
 		Urgency: current.urgency, Target: current.arrived + current.target(), Bulk: size >= link.BulkBytes,
 	}
@@ -89,7 +89,7 @@
 func writeInTurns(data []byte, turn func(bytes int), write func([]byte) (int, error)) (int, error) {
 	written := 0
 	for {
-		part := data[written:min(len(data), written+largestTurn)]
+		part := data[written:min(len(data), written+maxTurnBytes)]
 		turn(len(part))
 		count, err := write(part)
 		written += count
--- a/internal/gateway/peer.go
+++ b/internal/gateway/peer.go
@@ -20,22 +20,22 @@
 // directory is passed on only once: a gateway serves it to others only while its own comes from a controller.
 
 const (
-	// peerLookInterval is the interval at which the gateway checks whether a controller answers.
-	peerLookInterval = 100 * time.Millisecond
+	// peerPollInterval is the interval at which the gateway checks whether a controller answers.
+	peerPollInterval = 100 * time.Millisecond
 	// peerRetryPause is the delay after no other gateway could serve the directory: most likely the
 	// controllers are electing a leader, which takes several 100 ms.
 	peerRetryPause = 300 * time.Millisecond
-	// peerGather is the delay after a change in which further ones are collected for one update.
-	peerGather = 20 * time.Millisecond
+	// peerUpdateDelay is the delay after a change in which further ones are collected for one update.
+	peerUpdateDelay = 20 * time.Millisecond
 	// peerPingsWaiting bounds the unanswered pings of one gateway.
 	peerPingsWaiting = 4
 	// maxPeerStreams bounds the gateways that follow the directory of this one: twice as many as the
-	// controllers refer to it, see their maxPeers.
+	// controllers refer to it, see maxPeers in package controller.
 	maxPeerStreams = 8
 	// maxPeerConnections bounds the connections of other gateways for all purposes.
 	maxPeerConnections = 4096
-	// placeIdle is the idle timeout of the connection of a gateway that requests places.
-	placeIdle = time.Minute
+	// placeIdleTimeout is the idle timeout of the connection of a gateway that requests places.
+	placeIdleTimeout = time.Minute
 )
 
 // confirmed reports whether a controller has recently confirmed that the directory is current.
@@ -48,8 +48,8 @@
 // has just started waits for them: a whole directory would saturate the narrow link of another gateway.
 func (s *subscription) lostControllers() bool { return s.confirmedAt.Load() != nil && !s.confirmed() }
 
-// runPeers follows the directory of other gateways while no controller answers, until the context ends.
-func (s *subscription) runPeers(ctx context.Context) {
+// followPeers follows the directory of other gateways while no controller answers, until the context ends.
+func (s *subscription) followPeers(ctx context.Context) {
 	for ctx.Err() == nil {
 		if peers := s.knownPeers(); len(peers) > 0 && s.lostControllers() {
 			for _, address := range peers {
@@ -57,7 +57,7 @@
 			}
 			clock.Sleep(ctx, peerRetryPause)
 		}
-		clock.Sleep(ctx, peerLookInterval)
+		clock.Sleep(ctx, peerPollInterval)
 	}
 }
 
@@ -108,22 +108,22 @@
 	case message.PurposeDirectory:
 		return g.subscription.servePeer(ctx, connection)
 	case message.PurposePlaces:
-		connection.SetIdleTimeout(placeIdle)
+		connection.SetIdleTimeout(placeIdleTimeout)
 		return g.places.keeper.serve(ctx, connection)
 	default:
 		return eris.Errorf("purpose %q is not served by a gateway", hello.Purpose)
 	}
 }
 
-// errPeersServed ends a connection beyond maxPeerStreams.
-var errPeersServed = eris.New("the maximum number of gateways already follow the directory of this one")
+// errTooManyPeers ends a connection beyond maxPeerStreams.
+var errTooManyPeers = eris.New("the maximum number of gateways already follow the directory of this one")
 
 // servePeer serves the directory to one gateway: the changes since its revision, then each further change, and
 // a pong for each ping while this gateway's directory is confirmed.
 func (s *subscription) servePeer(ctx context.Context, connection *wire.Conn) error {
 	defer s.peerStreams.Add(-1)
 	if s.peerStreams.Add(1) > maxPeerStreams {
-		return errPeersServed
+		return errTooManyPeers
 	}
 	var first message.DirectoryRequest
 	if err := connection.Receive(&first); err != nil {
@@ -181,7 +181,7 @@
 				return err
 			}
 		case <-changed:
-			clock.Sleep(ctx, peerGather)
+			clock.Sleep(ctx, peerUpdateDelay)
 		}
 	}
 }
--- a/internal/gateway/peer_test.go
+++ b/internal/gateway/peer_test.go
@@ -18,8 +18,8 @@
 	"github.com/thorntiller/thorntiller/internal/wire"
 )
 
-// patience bounds each wait for a condition.
-const patience = 30 * time.Second
+// eventuallyTimeout bounds each wait for a condition.
+const eventuallyTimeout = 30 * time.Second
 
 // stubController serves a directory to gateways and answers their pings.
 type stubController struct {
@@ -30,8 +30,8 @@
 	peers []string
 	// controllers are sent before the directory, which then follows the first ping.
 	controllers []string
-	// wholes counts the whole directories that were sent.
-	wholes atomic.Int64
+	// wholeDirectories counts the whole directories that were sent.
+	wholeDirectories atomic.Int64
 	// streams counts the streams that were opened.
 	streams atomic.Int64
 	open    atomic.Int64
@@ -95,7 +95,7 @@
 			return
 		}
 	}
-	c.wholes.Add(1)
+	c.wholeDirectories.Add(1)
 	if connection.Send(ctx, &message.DirectoryUpdate{Cluster: "cluster", Changes: &changes, Peers: c.peers, Pong: ping.Ping}) != nil {
 		return
 	}
@@ -127,11 +127,11 @@
 // startSubscription runs the subscription of a gateway to the given controllers.
 func startSubscription(t *testing.T, controllers ...string) *subscription {
 	t.Helper()
-	return startPatientSubscription(t, 200*time.Millisecond, controllers...)
+	return startSubscriptionWithTimeout(t, 200*time.Millisecond, controllers...)
 }
 
-// startPatientSubscription is like startSubscription with a pong timeout.
-func startPatientSubscription(t *testing.T, pongTimeout time.Duration, controllers ...string) *subscription {
+// startSubscriptionWithTimeout is like startSubscription with a pong timeout.
+func startSubscriptionWithTimeout(t *testing.T, pongTimeout time.Duration, controllers ...string) *subscription {
 	t.Helper()
 	settings := config.DefaultGateway()
 	settings.Name, settings.Address = "g", "127.0.0.1:1"
@@ -144,9 +144,9 @@
 
 func eventually(t *testing.T, what string, reached func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !reached(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(eventuallyTimeout); !reached(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%s: not within %s", what, patience)
+			t.Fatalf("%s: not within %s", what, eventuallyTimeout)
 		}
 	}
 }
@@ -162,24 +162,24 @@
 	eventually(t, "the first gateway is confirmed by its controller", connected.confirmed)
 
 	unreachable := startStub(t)
-	cut := startSubscription(t, unreachable.address)
-	eventually(t, "the second gateway is confirmed by its controller", cut.confirmed)
+	isolated := startSubscription(t, unreachable.address)
+	eventually(t, "the second gateway is confirmed by its controller", isolated.confirmed)
 	unreachable.silent.Store(true)
-	eventually(t, "the second gateway has lost its controller", cut.lostControllers)
+	eventually(t, "the second gateway has lost its controller", isolated.lostControllers)
 	controller.addService.Store(true)
-	cut.viewLock.Lock()
-	cut.peers = []string{peerListener.Addr().String()}
-	cut.viewLock.Unlock()
-	runInBackground(t, cut.runPeers)
+	isolated.viewLock.Lock()
+	isolated.peers = []string{peerListener.Addr().String()}
+	isolated.viewLock.Unlock()
+	runInBackground(t, isolated.followPeers)
 	eventually(t, "the gateway without a controller gets the directory", func() bool {
-		_, found := cut.knownService("added")
+		_, found := isolated.knownService("added")
 		return found
 	})
-	if cut.confirmed() {
+	if isolated.confirmed() {
 		t.Error("a directory from another gateway counts as confirmed by a controller and would be passed on")
 	}
 	unreachable.silent.Store(false)
-	eventually(t, "a controller confirms again", cut.confirmed)
+	eventually(t, "a controller confirms again", isolated.confirmed)
 }
 
 func (s *subscription) knownService(name string) (directory.Service, bool) {
@@ -197,10 +197,10 @@
 // TestUnconfirmedDirectoryIsNotPassedOn checks that a gateway whose directory is not confirmed by a controller
 // rejects other gateways, so that two gateways without a controller do not confirm each other.
 func TestUnconfirmedDirectoryIsNotPassedOn(t *testing.T) {
-	lonely := startSubscription(t)
+	unconfirmed := startSubscription(t)
 	listener := listen(t)
-	runInBackground(t, func(ctx context.Context) { _ = servePeersOf(ctx, lonely, listener) })
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	runInBackground(t, func(ctx context.Context) { _ = servePeersOf(ctx, unconfirmed, listener) })
+	ctx, cancel := context.WithTimeout(context.Background(), eventuallyTimeout)
 	defer cancel()
 	connection, err := wire.Dial(ctx, listener.Addr().String(), wire.Options{})
 	if err != nil {
--- a/internal/gateway/place.go
+++ b/internal/gateway/place.go
@@ -12,41 +12,41 @@
 	"github.com/thorntiller/thorntiller/internal/routing"
 )
 
-// mayKeep reports whether an instance without keys gets requests through its keeper now. Cold instances do
-// not: each gateway sends them its own share, see coldStarts.
-func (g *Gateway) mayKeep(instance directory.Instance) bool {
+// usableByKeeper reports whether an instance without keys gets requests through its keeper now. Cold
+// instances do not: each gateway sends them its own share, see coldStarts.
+func (g *Gateway) usableByKeeper(instance directory.Instance) bool {
 	return instance.Serving() && !g.evacuations.excludes(instance) && !g.coldStarts.cold(g.clock.Now(), instance.ID)
 }
 
-// leastPlaceMegabits is the link speed below which a gateway neither requests nor grants places: on 2.3 Mbit/s
+// minPlaceMegabits is the link speed below which a gateway neither requests nor grants places: on 2.3 Mbit/s
 // an ask waited 45 ms for its answer in the median under bursts, behind answers and bodies, which is more than
 // a place saves.
-const leastPlaceMegabits = 20
+const minPlaceMegabits = 20
 
-// takesPart reports whether a gateway requests places and grants them.
-func takesPart(settings config.Gateway) bool {
-	return settings.KeepPlaces && (settings.LinkMegabits == 0 || settings.LinkMegabits >= leastPlaceMegabits)
+// usesPlaces reports whether a gateway requests places and grants them.
+func usesPlaces(settings config.Gateway) bool {
+	return settings.KeepPlaces && (settings.LinkMegabits == 0 || settings.LinkMegabits >= minPlaceMegabits)
 }
 
-// asksForPlace reports whether a place is to be requested from a keeper: once per request, and not for a
+// needsPlace reports whether a place is to be requested from a keeper: once per request, and not for a
 // resend, since a keeper does not know which instances it must avoid.
-func (g *Gateway) asksForPlace(current *request) bool {
-	return takesPart(g.settings) && !current.asked && len(current.attempts) == 0
+func (g *Gateway) needsPlace(current *request) bool {
+	return usesPlaces(g.settings) && !current.placeAsked && len(current.attempts) == 0
 }
 
 // placeInService requests a place at any instance of a service. Decided is false if the gateway is to choose
 // by its own counts.
 func (g *Gateway) placeInService(current *request, service *routing.Service) (chosen directory.Instance, failure *fault.Error, decided bool) {
-	if !g.asksForPlace(current) {
+	if !g.needsPlace(current) {
 		return directory.Instance{}, nil, false
 	}
-	current.asked = true
-	answer := g.places.ofService(current)
+	current.placeAsked = true
+	answer := g.places.askForService(current)
 	switch answer.verdict {
 	case room.Granted:
 		for _, instance := range service.Instances {
-			if directory.ReferenceOf(instance.ID) == answer.server && g.mayKeep(*instance) {
-				g.begin(current, *instance, answer)
+			if directory.ReferenceOf(instance.ID) == answer.server && g.usableByKeeper(*instance) {
+				g.beginWithPlace(current, *instance, answer)
 				return *instance, nil, true
 			}
 		}
@@ -56,7 +56,7 @@
 		if instance, found := g.coldInstance(current, service); found {
 			return instance, nil, true
 		}
-		return directory.Instance{}, current.rejected(answer), true
+		return directory.Instance{}, current.noPlaceFailure(answer), true
 	default:
 		return directory.Instance{}, nil, false
 	}
@@ -65,22 +65,22 @@
 // placeAtHolder requests a place at the holder of the request's key. Decided is false if the gateway is to
 // choose by its own counts.
 func (g *Gateway) placeAtHolder(current *request, holder directory.Instance) (failure *fault.Error, decided bool) {
-	if !g.asksForPlace(current) || g.coldStarts.cold(g.clock.Now(), holder.ID) {
+	if !g.needsPlace(current) || g.coldStarts.cold(g.clock.Now(), holder.ID) {
 		return nil, false
 	}
-	current.asked = true
-	answer := g.places.ofHolder(current, holder)
+	current.placeAsked = true
+	answer := g.places.askForHolder(current, holder)
 	switch answer.verdict {
 	case room.Granted:
 		if !g.stillHolds(current, holder.ID) {
 			answer.place.end(room.Unused, 0)
-			current.asked = false
+			current.placeAsked = false
 			return fault.Newf(fault.NoOwner, "key %d passed on to another holder", current.key), true
 		}
-		g.begin(current, holder, answer)
+		g.beginWithPlace(current, holder, answer)
 		return nil, true
 	case room.Rejected:
-		return current.rejected(answer), true
+		return current.noPlaceFailure(answer), true
 	default:
 		return nil, false
 	}
@@ -96,8 +96,8 @@
 	return found && holding.Owner == id && holding.Granted && !holding.Revoked
 }
 
-// begin counts a request that has a place as in flight to its instance.
-func (g *Gateway) begin(current *request, instance directory.Instance, answer placeAnswer) {
+// beginWithPlace counts a request that has a place as in flight to its instance.
+func (g *Gateway) beginWithPlace(current *request, instance directory.Instance, answer placeAnswer) {
 	g.balancer.TryBegin(g.clock.Now(), instance, math.MaxInt)
 	current.place = answer.place
 }
@@ -125,9 +125,9 @@
 	return instance, true
 }
 
-// rejected records that no place is available in time, and returns the failure.
-func (r *request) rejected(answer placeAnswer) *fault.Error {
-	r.noRoom, r.retryIn = true, answer.wait
+// noPlaceFailure records that no place is available in time, and returns the failure.
+func (r *request) noPlaceFailure(answer placeAnswer) *fault.Error {
+	r.noCapacity, r.retryIn = true, answer.wait
 	return fault.Newf(fault.QueueFull, "no place at service %q in time; the next one is expected in %s", r.service, answer.wait.Round(time.Millisecond))
 }
 
--- a/internal/gateway/placekeeper.go
+++ b/internal/gateway/placekeeper.go
@@ -33,10 +33,10 @@
 	// usable reports whether an instance of a pool gets requests now.
 	usable func(directory.Instance) bool
 	// kept has the queues of the newest table.
-	kept  atomic.Pointer[map[uint32]keptQueue]
-	last  atomic.Uint64
-	mutex sync.Mutex
-	core  *room.Keeper
+	kept      atomic.Pointer[map[uint32]keptQueue]
+	lastAsker atomic.Uint64
+	mutex     sync.Mutex
+	core      *room.Keeper
 	// askers has the function that takes the answers for each asker.
 	askers map[room.Asker]func([]message.PlaceAnswer)
 }
@@ -62,9 +62,9 @@
 
 func holderQueue(id directory.InstanceID) uint32 { return uint32(directory.ReferenceOf(id)) }
 
-// note applies a new table with the pools of its services. Asks for any of the instances are served, whichever
-// gateway the table names as their keeper, since the asker may have a newer table.
-func (k *placeKeeper) note(table *routing.Table, pools map[string][]room.Pool) {
+// update applies a new table with the pools of its services. Asks for any of the instances are served,
+// whichever gateway the table names as their keeper, since the asker may have a newer table.
+func (k *placeKeeper) update(table *routing.Table, pools map[string][]room.Pool) {
 	kept := make(map[uint32]keptQueue)
 	for _, name := range table.Services() {
 		service, _ := table.Service(name)
@@ -81,25 +81,25 @@
 	k.kept.Store(&kept)
 }
 
-// join adds an asker. Its answers are passed to answered, which must not block.
-func (k *placeKeeper) join(address string, answered func([]message.PlaceAnswer)) room.Asker {
-	asker := room.Asker(fmt.Sprintf("%s#%d", address, k.last.Add(1)))
+// addAsker adds an asker. Its answers are passed to deliver, which must not block.
+func (k *placeKeeper) addAsker(address string, deliver func([]message.PlaceAnswer)) room.Asker {
+	asker := room.Asker(fmt.Sprintf("%s#%d", address, k.lastAsker.Add(1)))
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
-	k.askers[asker] = answered
+	k.askers[asker] = deliver
 	return asker
 }
 
-// leave removes an asker that disconnected.
-func (k *placeKeeper) leave(asker room.Asker) {
+// removeAsker removes an asker that disconnected.
+func (k *placeKeeper) removeAsker(asker room.Asker) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	delete(k.askers, asker)
 	k.core.Lose(k.clock.Now(), asker)
 }
 
-// take processes a message from an asker.
-func (k *placeKeeper) take(asker room.Asker, request message.PlaceRequest) {
+// handle processes a message from an asker.
+func (k *placeKeeper) handle(asker room.Asker, request message.PlaceRequest) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	now := k.clock.Now()
@@ -112,9 +112,9 @@
 	}
 	kept := *k.kept.Load()
 	for _, ask := range request.Asks {
-		k.core.Ask(now, k.askOf(asker, ask, kept[ask.Queue]))
+		k.core.Ask(now, k.toAsk(asker, ask, kept[ask.Queue]))
 	}
-	k.tell()
+	k.deliver()
 }
 
 func placeID(asker room.Asker, number uint32) room.PlaceID {
@@ -123,8 +123,8 @@
 
 func milliseconds(count uint32) time.Duration { return time.Duration(count) * time.Millisecond }
 
-// askOf returns an ask with the instances that get requests now.
-func (k *placeKeeper) askOf(asker room.Asker, ask message.PlaceAsk, queue keptQueue) room.Ask {
+// toAsk returns an ask with the instances that get requests now.
+func (k *placeKeeper) toAsk(asker room.Asker, ask message.PlaceAsk, queue keptQueue) room.Ask {
 	servers := make([]directory.Instance, 0, len(queue.servers))
 	for _, instance := range queue.servers {
 		if !queue.pool || k.usable(instance) {
@@ -138,21 +138,21 @@
 	}
 }
 
-// tell passes the pending answers to their askers. The mutex must be held.
-func (k *placeKeeper) tell() {
+// deliver passes the pending answers to their askers. The mutex must be held.
+func (k *placeKeeper) deliver() {
 	due := make(map[room.Asker][]message.PlaceAnswer)
 	for _, answer := range k.core.Take() {
-		told := message.PlaceAnswer{
+		encoded := message.PlaceAnswer{
 			Number: uint32(answer.ID.Number), Verdict: uint8(answer.Verdict), WaitMs: uint32(answer.Wait.Milliseconds()),
 		}
 		if answer.Server != "" {
-			told.Server = uint32(directory.ReferenceOf(answer.Server))
+			encoded.Server = uint32(directory.ReferenceOf(answer.Server))
 		}
-		due[answer.ID.Asker] = append(due[answer.ID.Asker], told)
+		due[answer.ID.Asker] = append(due[answer.ID.Asker], encoded)
 	}
 	for asker, answers := range due {
-		if answered, found := k.askers[asker]; found {
-			answered(answers)
+		if deliver, found := k.askers[asker]; found {
+			deliver(answers)
 		}
 	}
 }
@@ -163,7 +163,7 @@
 		k.mutex.Lock()
 		defer k.mutex.Unlock()
 		k.core.Tick(k.clock.Now())
-		k.tell()
+		k.deliver()
 	})
 }
 
@@ -171,8 +171,8 @@
 func (k *placeKeeper) serve(ctx context.Context, connection *wire.Conn) error {
 	ctx, cancel := context.WithCancel(ctx)
 	answers := newOutbox[message.PlaceAnswer]()
-	asker := k.join(connection.RemoteAddress(), answers.add)
-	defer k.leave(asker)
+	asker := k.addAsker(connection.RemoteAddress(), answers.add)
+	defer k.removeAsker(asker)
 	var writing conc.WaitGroup
 	defer writing.Wait()
 	defer cancel()
@@ -188,6 +188,6 @@
 		if err := connection.Receive(&request); err != nil {
 			return err
 		}
-		k.take(asker, request)
+		k.handle(asker, request)
 	}
 }
--- a/internal/gateway/placelink.go
+++ b/internal/gateway/placelink.go
@@ -46,11 +46,11 @@
 	// outgoing is the outbox of the open connection; nil while there is none.
 	outgoing *outbox[outgoingPlace]
 	dialing  bool
-	// unreachable is true once it was logged that the keeper is unreachable.
-	unreachable bool
-	redialAt    time.Time
-	suspect     time.Time
-	last        uint32
+	// unreachableLogged is true once it was logged that the keeper is unreachable.
+	unreachableLogged bool
+	redialAt          time.Time
+	suspectUntil      time.Time
+	lastNumber        uint32
 	// answerTime is the moving average of the time until the first answer, and probedAt when an ask was last
 	// sent.
 	answerTime time.Duration
@@ -65,12 +65,12 @@
 	end *message.PlaceEnd
 }
 
-// answersOfAsk is the buffer for the answers to one ask: that it is queued, which may be repeated, and the
-// verdict.
-const answersOfAsk = 4
+// maxBufferedAnswers is the buffer for the answers to one ask: that it is queued, which may be repeated,
+// and the verdict.
+const maxBufferedAnswers = 4
 
-// answeredAfter adds a first answer to the average answer time.
-func (l *placeLink) answeredAfter(took time.Duration) {
+// recordAnswerTime adds a first answer to the average answer time.
+func (l *placeLink) recordAnswerTime(took time.Duration) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.answerTime += time.Duration(answerSmoothing * float64(took-l.answerTime))
@@ -91,13 +91,13 @@
 // is unreachable or answers too slowly for the request's target.
 func (l *placeLink) ask(ask message.PlaceAsk, target time.Duration) (uint32, <-chan message.PlaceAnswer, bool) {
 	l.mutex.Lock()
-	if l.outgoing == nil && l.local == nil || time.Now().Before(l.suspect) || !l.affordable(target) {
+	if l.outgoing == nil && l.local == nil || time.Now().Before(l.suspectUntil) || !l.affordable(target) {
 		l.mutex.Unlock()
 		return 0, nil, false
 	}
-	l.last++
-	ask.Number = l.last
-	answers := make(chan message.PlaceAnswer, answersOfAsk)
+	l.lastNumber++
+	ask.Number = l.lastNumber
+	answers := make(chan message.PlaceAnswer, maxBufferedAnswers)
 	l.pending[ask.Number] = answers
 	l.mutex.Unlock()
 	l.send(outgoingPlace{ask: &ask})
@@ -114,11 +114,11 @@
 // end returns a place.
 func (l *placeLink) end(end message.PlaceEnd) { l.send(outgoingPlace{end: &end}) }
 
-// noAnswer records that an ask was not answered in time.
-func (l *placeLink) noAnswer() {
+// markSuspect records that an ask was not answered in time.
+func (l *placeLink) markSuspect() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.suspect = time.Now().Add(suspectTime)
+	l.suspectUntil = time.Now().Add(suspectTime)
 }
 
 func (l *placeLink) send(outgoing outgoingPlace) {
@@ -145,18 +145,18 @@
 	return request
 }
 
-// answered passes answers to the requests that wait for them.
-func (l *placeLink) answered(answers []message.PlaceAnswer) {
+// deliver passes answers to the requests that wait for them.
+func (l *placeLink) deliver(answers []message.PlaceAnswer) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.suspect = time.Time{}
+	l.suspectUntil = time.Time{}
 	for _, answer := range answers {
-		waiting, found := l.pending[answer.Number]
+		answersOfAsk, found := l.pending[answer.Number]
 		if !found {
 			continue
 		}
 		select {
-		case waiting <- answer:
+		case answersOfAsk <- answer:
 		default:
 		}
 	}
@@ -188,16 +188,16 @@
 func (l *placeLink) follow(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer l.broken()
+	defer l.disconnected()
 	connection, err := wire.Dial(ctx, l.address, l.options)
 	if err != nil {
-		l.noteUnreachable(err)
+		l.logUnreachable(err)
 		return
 	}
 	defer connection.Close()
 	defer context.AfterFunc(ctx, connection.Close)()
 	if err := connection.Send(ctx, &message.Hello{Purpose: message.PurposePlaces, From: l.name}); err != nil {
-		l.noteUnreachable(err)
+		l.logUnreachable(err)
 		return
 	}
 	var writing conc.WaitGroup
@@ -211,37 +211,37 @@
 			return connection.Send(ctx, &request)
 		})
 	})
-	l.opened(outgoing)
+	l.connected(outgoing)
 	for {
 		var reply message.PlaceReply
 		if connection.Receive(&reply) != nil {
 			return
 		}
-		l.answered(reply.Answers)
+		l.deliver(reply.Answers)
 	}
 }
 
-// noteUnreachable logs that the keeper is unreachable, once until it is reached.
-func (l *placeLink) noteUnreachable(err error) {
+// logUnreachable logs that the keeper is unreachable, once until it is reached.
+func (l *placeLink) logUnreachable(err error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if l.unreachable || l.closed {
+	if l.unreachableLogged || l.closed {
 		return
 	}
-	l.unreachable = true
+	l.unreachableLogged = true
 	telemetry.WithError(l.log, telemetry.EventPeerUnreachable, err).WithField(telemetry.FieldAddress, l.address).
 		Warn("place keeper unreachable")
 }
 
-func (l *placeLink) opened(outgoing *outbox[outgoingPlace]) {
+func (l *placeLink) connected(outgoing *outbox[outgoingPlace]) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.outgoing, l.dialing, l.unreachable = outgoing, false, false
+	l.outgoing, l.dialing, l.unreachableLogged = outgoing, false, false
 	telemetry.With(l.log, telemetry.EventPeerReached).WithField(telemetry.FieldAddress, l.address).Info("connected to place keeper")
 }
 
-// broken records that the connection ended, and releases the requests that wait for answers.
-func (l *placeLink) broken() {
+// disconnected records that the connection ended, and releases the requests that wait for answers.
+func (l *placeLink) disconnected() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.outgoing != nil && !l.closed {
@@ -251,8 +251,8 @@
 	l.cancel()
 	l.outgoing, l.dialing, l.cancel = nil, false, nil
 	l.redialAt = time.Now().Add(redialPause)
-	for number, waiting := range l.pending {
-		close(waiting)
+	for number, answersOfAsk := range l.pending {
+		close(answersOfAsk)
 		delete(l.pending, number)
 	}
 }
--- a/internal/gateway/places.go
+++ b/internal/gateway/places.go
@@ -21,23 +21,23 @@
 )
 
 const (
-	// firstAnswer is the time limit for the first answer of a keeper: many round trips within a region, plus
-	// the queues of two saturated links.
-	firstAnswer = 50 * time.Millisecond
-	// queuedSilence is the time limit between two answers of a keeper while a request waits there: the keeper
+	// firstAnswerTimeout is the time limit for the first answer of a keeper: many round trips within a
+	// region, plus the queues of two saturated links.
+	firstAnswerTimeout = 50 * time.Millisecond
+	// queuedTimeout is the time limit between two answers of a keeper while a request waits there: the keeper
 	// repeats that the request is queued.
-	queuedSilence = 2*room.RepeatInterval + firstAnswer
-	// otherZone is by how much shorter the expected wait in another zone must be for its pool to be preferred
-	// over one in the gateway's own zone, since traffic between zones costs.
-	otherZone = 60 * time.Millisecond
-	// mostWaits bounds the number of queues whose last reported wait is remembered.
-	mostWaits = 4096
-	// poolsAsked bounds the pools that are asked in turn for one request.
-	poolsAsked = 2
+	queuedTimeout = 2*room.RepeatInterval + firstAnswerTimeout
+	// crossZonePenalty is added to the expected wait of a pool in another zone, since requests and answers
+	// between zones cost.
+	crossZonePenalty = 60 * time.Millisecond
+	// maxQueueWaits bounds the number of queues whose last reported wait is remembered.
+	maxQueueWaits = 4096
+	// maxPoolsPerRequest bounds the pools that are asked in turn for one request.
+	maxPoolsPerRequest = 2
 )
 
-// places requests places at instances from their keepers. It is safe for concurrent use.
-type places struct {
+// placeClient requests places at instances from their keepers. It is safe for concurrent use.
+type placeClient struct {
 	clock    clock.Clock
 	settings config.Gateway
 	log      *logrus.Entry
@@ -51,10 +51,10 @@
 	// pools has the pools of each service without keys, from the newest table.
 	pools   map[string][]room.Pool
 	keepers []directory.Keeper
-	// waits has the last wait that a keeper reported for each queue.
-	waits map[uint32]toldWait
-	// asked counts asks by result since the last log line about them.
-	asked askCounts
+	// queueWaits has the last wait that a keeper reported for each queue.
+	queueWaits map[uint32]queueWait
+	// counts counts asks by result since the last log line about them.
+	counts askCounts
 }
 
 // askCounts counts asks by result.
@@ -70,24 +70,24 @@
 	WaitMs int64 `json:"granted_wait_ms"`
 }
 
-// toldWait is the wait that a keeper reported, and when.
-type toldWait struct {
+// queueWait is the wait that a keeper reported, and when.
+type queueWait struct {
 	at   time.Duration
 	wait time.Duration
 }
 
-// left returns the part of the wait that remains.
-func (t toldWait) left(now time.Duration) time.Duration { return max(0, t.wait-(now-t.at)) }
+// remaining returns the part of the wait that remains.
+func (w queueWait) remaining(now time.Duration) time.Duration { return max(0, w.wait-(now-w.at)) }
 
-func newPlaces(system clock.Clock, settings config.Gateway, log *logrus.Entry, keeper *placeKeeper, meter *link.Meter) *places {
-	return &places{
+func newPlaceClient(system clock.Clock, settings config.Gateway, log *logrus.Entry, keeper *placeKeeper, meter *link.Meter) *placeClient {
+	return &placeClient{
 		clock: system, settings: settings, log: log, keeper: keeper, meter: meter,
-		links: make(map[string]*placeLink), pools: make(map[string][]room.Pool), waits: make(map[uint32]toldWait),
+		links: make(map[string]*placeLink), pools: make(map[string][]room.Pool), queueWaits: make(map[uint32]queueWait),
 	}
 }
 
 // run keeps the connections to keepers and grants places to other gateways until the context ends.
-func (p *places) run(ctx context.Context) {
+func (p *placeClient) run(ctx context.Context) {
 	p.mutex.Lock()
 	p.context = ctx
 	p.mutex.Unlock()
@@ -95,9 +95,9 @@
 	p.group.Wait()
 }
 
-// note applies a new table.
-func (p *places) note(table *routing.Table) {
-	if !takesPart(p.settings) {
+// update applies a new table.
+func (p *placeClient) update(table *routing.Table) {
+	if !usesPlaces(p.settings) {
 		return
 	}
 	pools := make(map[string][]room.Pool)
@@ -106,48 +106,48 @@
 			pools[name] = room.Pools(name, service.All(), table.Keepers)
 		}
 	}
-	p.keeper.note(table, pools)
+	p.keeper.update(table, pools)
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	p.pools, p.keepers = pools, table.Keepers
 	for _, keeper := range table.Keepers {
 		p.linkTo(keeper.Address)
 	}
-	p.closeOthers()
+	p.closeFormerKeepers()
 }
 
-// closeOthers closes the connections to gateways that are no longer keepers. The mutex must be held.
-func (p *places) closeOthers() {
-	for address, toKeeper := range p.links {
+// closeFormerKeepers closes the connections to gateways that are no longer keepers. The mutex must be held.
+func (p *placeClient) closeFormerKeepers() {
+	for address, keeperLink := range p.links {
 		named := slices.ContainsFunc(p.keepers, func(keeper directory.Keeper) bool { return keeper.Address == address })
-		if !named && toKeeper.local == nil {
-			toKeeper.close()
+		if !named && keeperLink.local == nil {
+			keeperLink.close()
 			delete(p.links, address)
 		}
 	}
 }
 
 // linkTo returns the link to a keeper, connected or not. The mutex must be held.
-func (p *places) linkTo(address string) *placeLink {
-	known, found := p.links[address]
+func (p *placeClient) linkTo(address string) *placeLink {
+	keeperLink, found := p.links[address]
 	if !found {
-		known = &placeLink{
+		keeperLink = &placeLink{
 			address: address, name: p.settings.Name, log: p.log, pending: make(map[uint32]chan message.PlaceAnswer),
 			options: wire.Options{
 				DialTimeout: p.settings.BackEnd.ConnectTimeout, WriteTimeout: p.settings.PongTimeout,
-				ReadBufferBytes: placeReadBuffer, Passed: streamOf(p.meter, link.Places),
+				ReadBufferBytes: placeReadBuffer, Passed: countAs(p.meter, link.Places),
 			},
 		}
 		if address == p.settings.PeerAddress {
-			asker := p.keeper.join(address, known.answered)
-			known.local = func(request message.PlaceRequest) { p.keeper.take(asker, request) }
+			asker := p.keeper.addAsker(address, keeperLink.deliver)
+			keeperLink.local = func(request message.PlaceRequest) { p.keeper.handle(asker, request) }
 		}
-		p.links[address] = known
+		p.links[address] = keeperLink
 	}
 	if p.context != nil {
-		known.connect(p.context, &p.group)
+		keeperLink.connect(p.context, &p.group)
 	}
-	return known
+	return keeperLink
 }
 
 // heldPlace is a granted place at an instance, to be returned with end.
@@ -171,30 +171,30 @@
 	wait time.Duration
 }
 
-// ofHolder requests a place at the holder of the request's key.
-func (p *places) ofHolder(current *request, holder directory.Instance) placeAnswer {
+// askForHolder requests a place at the holder of the request's key.
+func (p *placeClient) askForHolder(current *request, holder directory.Instance) placeAnswer {
 	p.mutex.Lock()
 	address := room.KeeperOf(holder, p.keepers)
 	if address == "" {
 		p.mutex.Unlock()
 		return placeAnswer{verdict: room.Unknown}
 	}
-	toKeeper := p.linkTo(address)
+	keeperLink := p.linkTo(address)
 	p.mutex.Unlock()
-	return p.ask(current, toKeeper, holderQueue(holder.ID))
+	return p.ask(current, keeperLink, holderQueue(holder.ID))
 }
 
-// ofService requests a place at any instance of a service without keys.
-func (p *places) ofService(current *request) placeAnswer {
+// askForService requests a place at any instance of a service without keys.
+func (p *placeClient) askForService(current *request) placeAnswer {
 	answer := placeAnswer{verdict: room.Unknown}
 	asked := make(map[uint32]bool)
-	for range poolsAsked {
-		toKeeper, queue, found := p.bestPool(current.service, asked)
+	for range maxPoolsPerRequest {
+		keeperLink, queue, found := p.bestPool(current.service, asked)
 		if !found {
 			break
 		}
 		asked[queue] = true
-		answer = p.ask(current, toKeeper, queue)
+		answer = p.ask(current, keeperLink, queue)
 		if answer.verdict == room.Granted {
 			break
 		}
@@ -202,9 +202,9 @@
 	return answer
 }
 
-// bestPool returns the pool with the shortest expected wait, where pools in other zones count otherZone
-// longer. It starts at a random pool, so that equal waits do not all lead to the same one.
-func (p *places) bestPool(service string, asked map[uint32]bool) (*placeLink, uint32, bool) {
+// bestPool returns the pool with the shortest expected wait, including crossZonePenalty. It starts at a
+// random pool, so that equal waits do not all lead to the same one.
+func (p *placeClient) bestPool(service string, asked map[uint32]bool) (*placeLink, uint32, bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	var best room.Pool
@@ -216,9 +216,9 @@
 		if asked[poolQueue(pool)] {
 			continue
 		}
-		wait := p.waits[poolQueue(pool)].left(p.clock.Now())
+		wait := p.queueWaits[poolQueue(pool)].remaining(p.clock.Now())
 		if pool.Zone != p.settings.Zone {
-			wait += otherZone
+			wait += crossZonePenalty
 		}
 		if bestWait < 0 || wait < bestWait {
 			best, bestWait = pool, wait
@@ -230,27 +230,27 @@
 	return p.linkTo(best.Keeper), poolQueue(best), true
 }
 
-// takeAsked returns the counts since the last call and resets them.
-func (p *places) takeAsked() askCounts {
+// takeCounts returns the counts since the last call and resets them.
+func (p *placeClient) takeCounts() askCounts {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	taken := p.asked
-	p.asked = askCounts{}
+	taken := p.counts
+	p.counts = askCounts{}
 	return taken
 }
 
-// count updates the counts of asks.
-func (p *places) count(add func(*askCounts)) {
+// updateCounts updates the counts of asks.
+func (p *placeClient) updateCounts(add func(*askCounts)) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	add(&p.asked)
+	add(&p.counts)
 }
 
 // ask asks one keeper, waits for its verdict and counts the result.
-func (p *places) ask(current *request, toKeeper *placeLink, queue uint32) placeAnswer {
+func (p *placeClient) ask(current *request, keeperLink *placeLink, queue uint32) placeAnswer {
 	began := time.Now()
-	answer := p.askKeeper(current, toKeeper, queue)
-	p.count(func(counts *askCounts) {
+	answer := p.askKeeper(current, keeperLink, queue)
+	p.updateCounts(func(counts *askCounts) {
 		switch answer.verdict {
 		case room.Granted:
 			counts.Granted++
@@ -265,39 +265,39 @@
 }
 
 // askKeeper asks one keeper and waits for its verdict.
-func (p *places) askKeeper(current *request, toKeeper *placeLink, queue uint32) placeAnswer {
-	number, answers, reached := toKeeper.ask(message.PlaceAsk{
+func (p *placeClient) askKeeper(current *request, keeperLink *placeLink, queue uint32) placeAnswer {
+	number, answers, reached := keeperLink.ask(message.PlaceAsk{
 		Queue: queue, Urgency: uint8(urgencyScale * current.urgency),
-		TargetMs: uint32(max(0, current.arrived+current.target()-p.clock.Now()).Milliseconds()), DeadlineMs: uint32(max(0, current.left()).Milliseconds()),
+		TargetMs: uint32(max(0, current.arrived+current.target()-p.clock.Now()).Milliseconds()), DeadlineMs: uint32(max(0, current.remaining()).Milliseconds()),
 	}, current.target())
 	if !reached {
-		p.count(func(counts *askCounts) { counts.Unreached++ })
+		p.updateCounts(func(counts *askCounts) { counts.Unreached++ })
 		return placeAnswer{verdict: room.Unknown}
 	}
-	defer toKeeper.forget(number)
+	defer keeperLink.forget(number)
 	began, first := time.Now(), true
-	held := &heldPlace{link: toKeeper, number: number}
-	timer := time.NewTimer(firstAnswer)
+	held := &heldPlace{link: keeperLink, number: number}
+	timer := time.NewTimer(firstAnswerTimeout)
 	defer timer.Stop()
-	look := time.NewTicker(lookInterval)
-	defer look.Stop()
+	poll := time.NewTicker(choosePollInterval)
+	defer poll.Stop()
 	for {
 		select {
-		case told, open := <-answers:
+		case received, open := <-answers:
 			if first {
 				first = false
-				toKeeper.answeredAfter(time.Since(began))
+				keeperLink.recordAnswerTime(time.Since(began))
 			}
 			if !open {
 				return placeAnswer{verdict: room.Unknown}
 			}
-			wait := milliseconds(told.WaitMs)
-			p.told(queue, wait)
-			if room.Verdict(told.Verdict) != room.Queued {
-				return placeAnswer{verdict: room.Verdict(told.Verdict), server: directory.Reference(told.Server), place: held, wait: wait}
+			wait := milliseconds(received.WaitMs)
+			p.recordWait(queue, wait)
+			if room.Verdict(received.Verdict) != room.Queued {
+				return placeAnswer{verdict: room.Verdict(received.Verdict), server: directory.Reference(received.Server), place: held, wait: wait}
 			}
-			timer.Reset(queuedSilence)
-		case <-look.C:
+			timer.Reset(queuedTimeout)
+		case <-poll.C:
 			if current.interrupt.Fired() {
 				held.end(room.Unused, 0)
 				return placeAnswer{verdict: room.Rejected}
@@ -305,22 +305,22 @@
 		case <-timer.C:
 			held.end(room.Unused, 0)
 			if first {
-				toKeeper.answeredAfter(firstAnswer)
+				keeperLink.recordAnswerTime(firstAnswerTimeout)
 			}
-			toKeeper.noAnswer()
-			p.count(func(counts *askCounts) { counts.Unanswered++ })
+			keeperLink.markSuspect()
+			p.updateCounts(func(counts *askCounts) { counts.Unanswered++ })
 			return placeAnswer{verdict: room.Unknown}
 		}
 	}
 }
 
-// told records the wait that a keeper reported for a queue.
-func (p *places) told(queue uint32, wait time.Duration) {
+// recordWait records the wait that a keeper reported for a queue.
+func (p *placeClient) recordWait(queue uint32, wait time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if len(p.waits) >= mostWaits {
+	if len(p.queueWaits) >= maxQueueWaits {
 		// Most entries belong to instances that are gone.
-		clear(p.waits)
+		clear(p.queueWaits)
 	}
-	p.waits[queue] = toldWait{at: p.clock.Now(), wait: wait}
+	p.queueWaits[queue] = queueWait{at: p.clock.Now(), wait: wait}
 }
--- a/internal/gateway/places_test.go
+++ b/internal/gateway/places_test.go
@@ -57,22 +57,22 @@
 	return settings
 }
 
-func quiet() *logrus.Entry { return telemetry.New(role, "g", "error", io.Discard) }
+func discardLog() *logrus.Entry { return telemetry.New(role, "g", "error", io.Discard) }
 
 func everyInstance(directory.Instance) bool { return true }
 
 // startKeeper starts a gateway that is the keeper of the server, and returns its address and a function that
 // stops it.
-func startKeeper(t *testing.T, address string) (*places, string, context.CancelFunc) {
+func startKeeper(t *testing.T, address string) (*placeClient, string, context.CancelFunc) {
 	t.Helper()
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	settings := placeSettings(listener.Addr().String())
-	keeping := newPlaces(testClock, settings, quiet(), newPlaceKeeper(testClock, everyInstance), &link.Meter{})
-	keeping.note(placeTable(t, settings.PeerAddress))
-	gateway := &Gateway{settings: settings, places: keeping, log: quiet()}
+	keeping := newPlaceClient(testClock, settings, discardLog(), newPlaceKeeper(testClock, everyInstance), &link.Meter{})
+	keeping.update(placeTable(t, settings.PeerAddress))
+	gateway := &Gateway{settings: settings, places: keeping, log: discardLog()}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() {
@@ -89,33 +89,33 @@
 }
 
 // startAsker returns a gateway that is connected to a keeper.
-func startAsker(t *testing.T, keeper string) *places {
+func startAsker(t *testing.T, keeper string) *placeClient {
 	t.Helper()
-	return startAskerBy(t, keeper, nil)
+	return startAskerWithDial(t, keeper, nil)
 }
 
-// startAskerBy is like startAsker with a function that opens connections; nil for plain TCP.
-func startAskerBy(t *testing.T, keeper string, dial wire.DialFunc) *places {
+// startAskerWithDial is like startAsker with a function that opens connections; nil for plain TCP.
+func startAskerWithDial(t *testing.T, keeper string, dial wire.DialFunc) *placeClient {
 	t.Helper()
-	asking := newPlaces(testClock, placeSettings("127.0.0.1:1"), quiet(), newPlaceKeeper(testClock, everyInstance), &link.Meter{})
+	asking := newPlaceClient(testClock, placeSettings("127.0.0.1:1"), discardLog(), newPlaceKeeper(testClock, everyInstance), &link.Meter{})
 	table := placeTable(t, keeper)
-	asking.note(table)
+	asking.update(table)
 	asking.links[keeper].options.Dial = dial
 	runInBackground(t, asking.run)
 	eventually(t, "the keeper is reached", func() bool {
-		asking.note(table)
+		asking.update(table)
 		asking.mutex.Lock()
-		toKeeper := asking.links[keeper]
+		keeperLink := asking.links[keeper]
 		asking.mutex.Unlock()
-		toKeeper.mutex.Lock()
-		defer toKeeper.mutex.Unlock()
-		return toKeeper.outgoing != nil
+		keeperLink.mutex.Lock()
+		defer keeperLink.mutex.Unlock()
+		return keeperLink.outgoing != nil
 	})
 	return asking
 }
 
-// placeTime is longer than any wait in the tests, so that no wait expires.
-const placeTime = 100 * time.Second
+// longDeadline is longer than any wait in the tests, so that no wait expires.
+const longDeadline = 100 * time.Second
 
 // TestGatewaysShareAServer checks that two gateways together get as many places as one server has. The next
 // request waits until a place is returned and is then granted it.
@@ -123,27 +123,27 @@
 	keeping, address, _ := startKeeper(t, "127.0.0.1:0")
 	asking := startAsker(t, address)
 	var held []*heldPlace
-	for _, gateway := range []*places{keeping, asking} {
-		answer := gateway.ofService(placeRequest(placeTime))
+	for _, gateway := range []*placeClient{keeping, asking} {
+		answer := gateway.askForService(placeRequest(longDeadline))
 		if answer.verdict != room.Granted || answer.server != directory.ReferenceOf("i") {
 			t.Fatalf("got %+v, want a place", answer)
 		}
 		held = append(held, answer.place)
 	}
 	third := make(chan placeAnswer, 1)
-	go func() { third <- asking.ofService(placeRequest(placeTime)) }()
+	go func() { third <- asking.askForService(placeRequest(longDeadline)) }()
 	select {
 	case answer := <-third:
 		t.Fatalf("got %+v though the server is full", answer)
-	case <-time.After(3 * queuedSilence / 2): // longer than the wait for a silent keeper
+	case <-time.After(3 * queuedTimeout / 2): // longer than the wait for a silent keeper
 	}
 	held[0].end(room.Answered, 5*time.Millisecond)
 	if answer := <-third; answer.verdict != room.Granted {
 		t.Errorf("got %+v once a place was given back", answer)
 	}
-	hurried := placeRequest(placeTime)
-	hurried.arrived -= placeTime
-	if answer := asking.ofService(hurried); answer.verdict != room.Rejected {
+	overdue := placeRequest(longDeadline)
+	overdue.arrived -= longDeadline
+	if answer := asking.askForService(overdue); answer.verdict != room.Rejected {
 		t.Errorf("got %+v for a request that cannot be answered in time", answer)
 	}
 }
@@ -154,15 +154,15 @@
 	keeping, address, _ := startKeeper(t, "127.0.0.1:0")
 	asking := startAsker(t, address)
 	for range 2 {
-		asking.ofService(placeRequest(placeTime))
+		asking.askForService(placeRequest(longDeadline))
 	}
-	leaving := placeRequest(placeTime)
+	leaving := placeRequest(longDeadline)
 	ended := make(chan placeAnswer, 1)
-	go func() { ended <- asking.ofService(leaving) }()
+	go func() { ended <- asking.askForService(leaving) }()
 	eventually(t, "the request waits", func() bool {
 		asking.mutex.Lock()
 		defer asking.mutex.Unlock()
-		return asking.waits[poolQueue(asking.pools["s"][0])].wait > 0
+		return asking.queueWaits[poolQueue(asking.pools["s"][0])].wait > 0
 	})
 	leaving.interrupt.Fire()
 	if answer := <-ended; answer.verdict != room.Rejected {
@@ -186,29 +186,29 @@
 	_, address, stop := startKeeper(t, "127.0.0.9:0")
 	asking := startAsker(t, address)
 	for range 2 {
-		asking.ofService(placeRequest(placeTime))
+		asking.askForService(placeRequest(longDeadline))
 	}
 	waiting := make(chan placeAnswer, 1)
-	go func() { waiting <- asking.ofService(placeRequest(placeTime)) }()
-	time.Sleep(queuedSilence / 4)
+	go func() { waiting <- asking.askForService(placeRequest(longDeadline)) }()
+	time.Sleep(queuedTimeout / 4)
 	stop()
 	if answer := <-waiting; answer.verdict != room.Unknown {
 		t.Errorf("got %+v from a keeper that ended", answer)
 	}
 	began := time.Now()
-	if answer := asking.ofService(placeRequest(placeTime)); answer.verdict != room.Unknown || time.Since(began) > firstAnswer {
+	if answer := asking.askForService(placeRequest(longDeadline)); answer.verdict != room.Unknown || time.Since(began) > firstAnswerTimeout {
 		t.Errorf("got %+v after %s without a keeper", answer, time.Since(began))
 	}
 	startKeeper(t, address)
 	table := placeTable(t, address)
 	eventually(t, "the new keeper grants places", func() bool {
-		asking.note(table)
-		return asking.ofService(placeRequest(placeTime)).verdict == room.Granted
+		asking.update(table)
+		return asking.askForService(placeRequest(longDeadline)).verdict == room.Granted
 	})
 }
 
 // TestSilentKeeperIsNotWaitedFor guards against waits for a frozen keeper, which accepts connections and does
-// not answer: the first request waits for firstAnswer, the next ones not at all.
+// not answer: the first request waits for firstAnswerTimeout, the next ones not at all.
 func TestSilentKeeperIsNotWaitedFor(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -224,11 +224,11 @@
 		})
 	})
 	asking := startAsker(t, listener.Addr().String())
-	if answer := asking.ofService(placeRequest(placeTime)); answer.verdict != room.Unknown {
+	if answer := asking.askForService(placeRequest(longDeadline)); answer.verdict != room.Unknown {
 		t.Errorf("got %+v from a keeper that does not answer", answer)
 	}
 	began := time.Now()
-	if answer := asking.ofService(placeRequest(placeTime)); answer.verdict != room.Unknown || time.Since(began) >= firstAnswer {
+	if answer := asking.askForService(placeRequest(longDeadline)); answer.verdict != room.Unknown || time.Since(began) >= firstAnswerTimeout {
 		t.Errorf("got %+v, after %s", answer, time.Since(began))
 	}
 }
@@ -266,16 +266,16 @@
 			keeping, address, _ := startKeeper(t, "127.0.0.1:0")
 			var deaf, mute atomic.Bool
 			cut := map[string]*atomic.Bool{"deaf": &deaf, "mute": &mute}[direction]
-			asking := startAskerBy(t, address, func(ctx context.Context, address string) (net.Conn, error) {
+			asking := startAskerWithDial(t, address, func(ctx context.Context, address string) (net.Conn, error) {
 				connection, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
 				return &halfCut{Conn: connection, deaf: &deaf, mute: &mute}, err
 			})
 			const deadline = time.Second
-			if answer := asking.ofService(placeRequest(deadline)); answer.verdict != room.Granted {
+			if answer := asking.askForService(placeRequest(deadline)); answer.verdict != room.Granted {
 				t.Fatalf("got %+v before the cut", answer)
 			}
 			cut.Store(true)
-			if answer := asking.ofService(placeRequest(deadline)); answer.verdict != room.Unknown {
+			if answer := asking.askForService(placeRequest(deadline)); answer.verdict != room.Unknown {
 				t.Errorf("got %+v after the cut", answer)
 			}
 			eventually(t, "the places granted before and after the cut have expired", func() bool {
@@ -283,14 +283,14 @@
 				defer keeping.keeper.mutex.Unlock()
 				return keeping.keeper.core.Held() == 0
 			})
-			if answer := keeping.ofService(placeRequest(deadline)); answer.verdict != room.Granted {
+			if answer := keeping.askForService(placeRequest(deadline)); answer.verdict != room.Granted {
 				t.Errorf("another gateway got %+v", answer)
 			}
 			cut.Store(false)
 			table := placeTable(t, address)
 			eventually(t, "places are granted again", func() bool {
-				asking.note(table)
-				return asking.ofService(placeRequest(deadline)).verdict == room.Granted
+				asking.update(table)
+				return asking.askForService(placeRequest(deadline)).verdict == room.Granted
 			})
 		})
 	}
@@ -301,7 +301,7 @@
 func TestKeeperAndAskerStartAnew(t *testing.T) {
 	_, address, stop := startKeeper(t, "127.0.0.10:0")
 	for asked, before := 0, startAsker(t, address); asked < 2; asked++ {
-		if answer := before.ofService(placeRequest(placeTime)); answer.verdict != room.Granted {
+		if answer := before.askForService(placeRequest(longDeadline)); answer.verdict != room.Granted {
 			t.Fatalf("got %+v before the power failure", answer)
 		}
 	}
@@ -310,16 +310,16 @@
 	after := startAsker(t, address)
 	granted := 0
 	for range 2 {
-		if after.ofService(placeRequest(placeTime)).verdict == room.Granted {
+		if after.askForService(placeRequest(longDeadline)).verdict == room.Granted {
 			granted++
 		}
 	}
 	if granted != 2 {
 		t.Errorf("%d places granted by a keeper without state, want the 2 of the server", granted)
 	}
-	hurried := placeRequest(placeTime)
-	hurried.arrived -= placeTime
-	if answer := after.ofService(hurried); answer.verdict != room.Rejected {
+	overdue := placeRequest(longDeadline)
+	overdue.arrived -= longDeadline
+	if answer := after.askForService(overdue); answer.verdict != room.Rejected {
 		t.Errorf("got %+v for a request beyond the places of the server", answer)
 	}
 	keeping.keeper.mutex.Lock()
@@ -334,26 +334,26 @@
 	keeper := newPlaceKeeper(clock.NewSystem(), everyInstance)
 	table := placeTable(t, "127.0.0.1:1")
 	service, _ := table.Service("s")
-	keeper.note(table, map[string][]room.Pool{"s": room.Pools("s", service.All(), table.Keepers)})
+	keeper.update(table, map[string][]room.Pool{"s": room.Pools("s", service.All(), table.Keepers)})
 	var answers []message.PlaceAnswer
-	asker := keeper.join("a", func(told []message.PlaceAnswer) { answers = append(answers, told...) })
-	keeper.take(asker, message.PlaceRequest{
+	asker := keeper.addAsker("a", func(received []message.PlaceAnswer) { answers = append(answers, received...) })
+	keeper.handle(asker, message.PlaceRequest{
 		Asks: []message.PlaceAsk{{Number: 1, Queue: 12345, Urgency: 255, TargetMs: 1 << 31, DeadlineMs: 1<<32 - 1}},
 		Ends: []message.PlaceEnd{{Number: 99, Outcome: 200, TookMs: 1<<32 - 1}},
 	})
 	if len(answers) != 1 || room.Verdict(answers[0].Verdict) != room.Unknown {
 		t.Errorf("answers %+v, want the verdict Unknown", answers)
 	}
-	keeper.leave(asker)
-	keeper.take("nobody#1", message.PlaceRequest{Ends: []message.PlaceEnd{{Number: 1}}})
+	keeper.removeAsker(asker)
+	keeper.handle("nobody#1", message.PlaceRequest{Ends: []message.PlaceEnd{{Number: 1}}})
 }
 
 // TestFormerKeepersAreLeft checks that connections to gateways that are no longer keepers are closed.
 func TestFormerKeepersAreLeft(t *testing.T) {
 	keeping, address, _ := startKeeper(t, "127.0.0.1:0")
 	asking := startAsker(t, address)
-	asking.ofService(placeRequest(placeTime))
-	asking.note(placeTable(t, "127.0.0.1:2"))
+	asking.askForService(placeRequest(longDeadline))
+	asking.update(placeTable(t, "127.0.0.1:2"))
 	asking.mutex.Lock()
 	_, known := asking.links[address]
 	asking.mutex.Unlock()
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -13,8 +13,8 @@
 	"github.com/thorntiller/thorntiller/internal/routing"
 )
 
-// noteEnded reports the instances that ended according to a new table to the crash watch.
-func (g *Gateway) noteEnded(table *routing.Table) {
+// checkCrashes reports the instances that ended according to a new table to the crash watch.
+func (g *Gateway) checkCrashes(table *routing.Table) {
 	g.crashes.Check(func(id directory.InstanceID) bool {
 		return slices.ContainsFunc(table.Changed, func(changed *directory.Instance) bool { return changed.ID == id && changed.Ended })
 	})
@@ -28,17 +28,17 @@
 	return nil
 }
 
-// noteAnswered records that an instance answered a request. A status of 500 or above is ignored: it may only
+// recordAnswered records that an instance answered a request. A status of 500 or above is ignored: it may only
 // mean that the request's time ran out.
-func (g *Gateway) noteAnswered(current *request) {
+func (g *Gateway) recordAnswered(current *request) {
 	if current.answer.StatusCode() < fasthttp.StatusInternalServerError {
 		g.guard.Answered(&current.suspicion)
 	}
 }
 
-// noteLoss records an attempt that may have ended with a crash of its instance. Instances that are leaving are
-// ignored: they may end at any time, whatever they run.
-func (g *Gateway) noteLoss(current *request, instance directory.Instance, took time.Duration, failure *fault.Error) {
+// recordLoss records an attempt that may have ended with a crash of its instance. Instances that are
+// leaving are ignored: they may end at any time, whatever they run.
+func (g *Gateway) recordLoss(current *request, instance directory.Instance, took time.Duration, failure *fault.Error) {
 	connectionEnded := false
 	switch failure.Kind {
 	case fault.ConnectionLost, fault.AnswerTruncated:
--- a/internal/gateway/race.go
+++ b/internal/gateway/race.go
@@ -24,14 +24,14 @@
 	// raceStagger is the delay before the next controller is asked as well, about ten times the time to
 	// connect within a region.
 	raceStagger = 50 * time.Millisecond
-	// connectedPatience is how long a controller that accepted the connection may take to send the beginning
-	// of the directory before the next controller is asked as well. transferPatience is the same bound for the
+	// firstBytesTimeout is how long a controller that accepted the connection may take to send the beginning
+	// of the directory before the next controller is asked as well. transferTimeout is the same bound for the
 	// whole directory: that of several hundred instances takes half of it at 2 Mbit/s.
-	connectedPatience = 100 * time.Millisecond
-	transferPatience  = 800 * time.Millisecond
-	// directoryBegun is the number of received bytes from which on the transfer of the directory has begun;
-	// the list of controllers, which is always sent, is shorter.
-	directoryBegun = 1500
+	firstBytesTimeout = 100 * time.Millisecond
+	transferTimeout   = 800 * time.Millisecond
+	// directoryBegunBytes is the number of received bytes from which on the transfer of the directory has
+	// begun; the list of controllers, which is always sent, is shorter.
+	directoryBegunBytes = 1500
 	// raceRounds is how often each controller is asked before the settings are reloaded.
 	raceRounds = 3
 )
@@ -136,23 +136,23 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	for each := range r.candidates {
-		if each.connection != nil && time.Since(each.connectedAt) < each.patience() {
+		if each.connection != nil && time.Since(each.connectedAt) < each.timeout() {
 			return false
 		}
 	}
 	return r.winner == nil && !r.abandoned
 }
 
-// patience returns how long a candidate that accepted the connection may take before the next one is asked.
-func (c *candidate) patience() time.Duration {
-	if c.connection.BytesReceived() >= directoryBegun {
-		return transferPatience
+// timeout returns how long a candidate that accepted the connection may take before the next one is asked.
+func (c *candidate) timeout() time.Duration {
+	if c.connection.BytesReceived() >= directoryBegunBytes {
+		return transferTimeout
 	}
-	return connectedPatience
+	return firstBytesTimeout
 }
 
-// over reports whether the search has ended, with or without a winner.
-func (r *race) over() bool {
+// finished reports whether the search has ended, with or without a winner.
+func (r *race) finished() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.winner != nil || r.abandoned
@@ -161,14 +161,14 @@
 // followFirst asks the candidates in turn, and follows the stream of the first that confirms the directory
 // until it breaks.
 func (s *subscription) followFirst(ctx context.Context, candidates []string) {
-	contest := newRace()
+	search := newRace()
 	var group conc.WaitGroup
 	defer group.Wait()
 	for range raceRounds {
 		for _, address := range candidates {
-			s.ask(ctx, contest, address, &group)
-			for clock.Sleep(ctx, raceStagger); !contest.mayAskNext(); clock.Sleep(ctx, raceStagger) {
-				if ctx.Err() != nil || contest.over() {
+			s.ask(ctx, search, address, &group)
+			for clock.Sleep(ctx, raceStagger); !search.mayAskNext(); clock.Sleep(ctx, raceStagger) {
+				if ctx.Err() != nil || search.finished() {
 					return
 				}
 			}
@@ -177,24 +177,24 @@
 }
 
 // ask follows one candidate in the background, unless it is already being asked.
-func (s *subscription) ask(ctx context.Context, contest *race, address string, group *conc.WaitGroup) {
+func (s *subscription) ask(ctx context.Context, search *race, address string, group *conc.WaitGroup) {
 	ctx, cancel := context.WithCancel(ctx)
-	asked := contest.enter(address, cancel)
+	asked := search.enter(address, cancel)
 	if asked == nil {
 		cancel()
 		return
 	}
 	group.Go(func() {
 		defer cancel()
-		defer contest.leave(asked)
-		err := s.follow(ctx, source{address: address, contest: contest, candidate: asked})
+		defer search.leave(asked)
+		err := s.follow(ctx, source{address: address, search: search, candidate: asked})
 		if ctx.Err() != nil {
 			return
 		}
 		line := telemetry.WithError(s.log, telemetry.EventControllerLost, err).WithField(telemetry.FieldAddress, address).
 			WithField("table_age_ms", s.age().Milliseconds())
-		if errors.Is(err, errGoesHome) {
-			contest.abandon()
+		if errors.Is(err, errSwitchToHome) {
+			search.abandon()
 			line.Info("switching the directory stream to the home controller")
 			return
 		}
--- a/internal/gateway/race_test.go
+++ b/internal/gateway/race_test.go
@@ -21,9 +21,9 @@
 	silent, answering := startStub(t), startStub(t)
 	silent.silent.Store(true)
 	began := time.Now()
-	s := startPatientSubscription(t, patience, silent.address, answering.address)
+	s := startSubscriptionWithTimeout(t, eventuallyTimeout, silent.address, answering.address)
 	eventually(t, "the directory came", func() bool { return s.current() != nil && s.confirmed() })
-	if took := time.Since(began); took > patience/2 {
+	if took := time.Since(began); took > eventuallyTimeout/2 {
 		t.Errorf("the directory came after %s", took)
 	}
 }
@@ -83,29 +83,29 @@
 // one is not, and one stream wins, whichever connection it uses.
 func TestControllerIsDialedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		contest := newRace()
+		search := newRace()
 		ended := 0
 		cancel := func() { ended++ }
-		first := contest.enter("c", cancel)
-		if first == nil || contest.enter("c", cancel) != nil {
+		first := search.enter("c", cancel)
+		if first == nil || search.enter("c", cancel) != nil {
 			t.Fatal("a controller is asked twice at once")
 		}
 		time.Sleep(redialAfter)
-		second := contest.enter("c", cancel)
+		second := search.enter("c", cancel)
 		if second == nil {
 			t.Fatal("a controller that does not accept connections is not dialed again")
 		}
-		if !contest.connected(second, &wire.Conn{}) || contest.connected(first, &wire.Conn{}) {
+		if !search.connected(second, &wire.Conn{}) || search.connected(first, &wire.Conn{}) {
 			t.Error("want one connection to a controller")
 		}
 		time.Sleep(redialAfter)
-		if contest.enter("c", cancel) != nil {
+		if search.enter("c", cancel) != nil {
 			t.Error("a controller that has accepted a connection is dialed again")
 		}
-		if !contest.claim(second) || contest.claim(first) || ended != 1 {
+		if !search.claim(second) || search.claim(first) || ended != 1 {
 			t.Errorf("%d streams were ended, want that of the first connection", ended)
 		}
-		if contest.enter("d", cancel) != nil {
+		if search.enter("d", cancel) != nil {
 			t.Error("another controller is asked after one has won")
 		}
 	})
--- a/internal/gateway/regions.go
+++ b/internal/gateway/regions.go
@@ -23,8 +23,8 @@
 	return made
 }
 
-// mayServeHere reports whether the route and the tenant allow the region of an instance.
-func (g *Gateway) mayServeHere(current *request, instance directory.Instance) bool {
+// allowsRegionOf reports whether the route and the tenant allow the region of an instance.
+func (g *Gateway) allowsRegionOf(current *request, instance directory.Instance) bool {
 	region := g.regions[instance.Zone]
 	if !allowsRegion(current.route.AllowedRegions, region) {
 		return false
--- a/internal/gateway/rejections.go
+++ b/internal/gateway/rejections.go
@@ -17,9 +17,9 @@
 // at the service. A holder that rejects keys of several ranges has most likely lost all of them. It is safe
 // for concurrent use.
 type rejections struct {
-	clock clock.Clock
-	mutex sync.Mutex
-	noted map[directory.InstanceID]rejectedRanges
+	clock    clock.Clock
+	mutex    sync.Mutex
+	rejected map[directory.InstanceID]rejectedRanges
 }
 
 // rejectedRanges has the ranges that one holder rejected under a revision of the layout.
@@ -29,22 +29,23 @@
 	until map[directory.Key]time.Duration
 }
 
-// rejectionsOfAll is the number of rejected ranges from which on a holder is taken to have lost all of its
+// maxRejectedRanges is the number of rejected ranges from which on a holder is taken to have lost all of its
 // keys.
-const rejectionsOfAll = 3
+const maxRejectedRanges = 3
 
 func newRejections(system clock.Clock) *rejections {
-	return &rejections{clock: system, noted: make(map[directory.InstanceID]rejectedRanges)}
+	return &rejections{clock: system, rejected: make(map[directory.InstanceID]rejectedRanges)}
 }
 
-// note records that a holder rejected a key in the range that begins at first, under a revision of the layout.
-func (r *rejections) note(id directory.InstanceID, first directory.Key, revision directory.Revision) {
+// record notes that a holder rejected a key in the range that begins at first, under a revision of the
+// layout.
+func (r *rejections) record(id directory.InstanceID, first directory.Key, revision directory.Revision) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	known, found := r.noted[id]
+	known, found := r.rejected[id]
 	if !found || known.revision != revision {
 		known = rejectedRanges{revision: revision, until: make(map[directory.Key]time.Duration)}
-		r.noted[id] = known
+		r.rejected[id] = known
 	}
 	known.until[first] = r.clock.Now() + rejectionPause
 }
@@ -53,12 +54,12 @@
 func (r *rejections) mayAsk(id directory.InstanceID, first directory.Key, revision directory.Revision) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	known, found := r.noted[id]
+	known, found := r.rejected[id]
 	if !found {
 		return true
 	}
 	if known.revision != revision {
-		delete(r.noted, id)
+		delete(r.rejected, id)
 		return true
 	}
 	now := r.clock.Now()
@@ -67,6 +68,6 @@
 			delete(known.until, start)
 		}
 	}
-	_, rejected := known.until[first]
-	return !rejected && len(known.until) < rejectionsOfAll
+	_, inPause := known.until[first]
+	return !inPause && len(known.until) < maxRejectedRanges
 }
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -54,27 +54,28 @@
 	urgency float64
 	// reserved is the number of bytes reserved on this machine's link.
 	reserved float64
-	// withdrawn is true if the latest attempt was not sent, see maySendNow.
+	// withdrawn is true if the latest attempt was not sent, see checkBeforeWrite.
 	withdrawn bool
-	// asked is true once a keeper was asked for a place, and place is the place that it granted.
-	asked bool
-	place *heldPlace
-	// noRoom is true if no place is available in time, and retryIn is the expected time until there is
+	// placeAsked is true once a keeper was asked for a place, and place is the place that it granted.
+	placeAsked bool
+	place      *heldPlace
+	// noCapacity is true if no place is available in time, and retryIn is the expected time until there is
 	// capacity.
-	noRoom  bool
-	retryIn time.Duration
-	// rejectedWithRoom is true if the instance that rejected the request last should have had capacity for it.
-	rejectedWithRoom bool
+	noCapacity bool
+	retryIn    time.Duration
+	// rejectedWithCapacity is true if the instance that rejected the request last should have had capacity
+	// for it.
+	rejectedWithCapacity bool
 	// quotaTaken is true once a token of the tenant was taken.
 	quotaTaken bool
-	// tokenOf is the instance whose token the request holds; empty for none.
-	tokenOf directory.InstanceID
+	// tokenInstance is the instance whose token the request holds; empty for none.
+	tokenInstance directory.InstanceID
 	// limitedAt has the instances whose rate limits had no capacity for the request, and limited is the last
 	// failure for that reason; nil for none.
-	limitedAt []directory.InstanceID
-	limited   *fault.Error
-	// resting is the failure for the instance whose rest ends first; nil for none.
-	resting *fault.Error
+	limitedAt    []directory.InstanceID
+	limitFailure *fault.Error
+	// restFailure is the failure for the instance whose rest ends first; nil for none.
+	restFailure *fault.Error
 	// interrupt aborts the attempt when the caller disconnects.
 	interrupt *forward.Interrupt
 	// suspicion is the state of the request with regard to crashes of instances.
@@ -120,7 +121,7 @@
 	}
 	read.urgency = table.Urgency(route, read.tenant)
 	if route.TimeoutMs > 0 {
-		read.bound(time.Duration(route.TimeoutMs * float64(time.Millisecond)))
+		read.limitDeadline(time.Duration(route.TimeoutMs * float64(time.Millisecond)))
 	}
 	read.service = g.splitter.Pick(route, rand.Float64())
 	service, found := table.Service(read.service)
@@ -130,8 +131,8 @@
 	return read, read.readKey(g.dialect.Key, service.Config)
 }
 
-// bound limits the deadline to a timeout after the arrival.
-func (r *request) bound(timeout time.Duration) {
+// limitDeadline limits the deadline to a timeout after the arrival.
+func (r *request) limitDeadline(timeout time.Duration) {
 	r.deadline = min(r.deadline, r.arrived+timeout)
 }
 
@@ -144,7 +145,7 @@
 	if err != nil || milliseconds < 0 {
 		return fault.Newf(fault.InvalidRequest, "header %s is %.32q: give milliseconds", header, value)
 	}
-	r.bound(time.Duration(milliseconds * float64(time.Millisecond)))
+	r.limitDeadline(time.Duration(milliseconds * float64(time.Millisecond)))
 	return nil
 }
 
@@ -162,8 +163,8 @@
 	return nil
 }
 
-// sendings counts the attempts that sent the request.
-func (r *request) sendings() int {
+// sentAttempts counts the attempts that sent the request.
+func (r *request) sentAttempts() int {
 	count := 0
 	for _, outcome := range r.outcomes {
 		if outcome.Kind != fault.ConnectFailed {
@@ -173,8 +174,8 @@
 	return count
 }
 
-// left returns the time until the deadline.
-func (r *request) left() time.Duration { return r.deadline - r.clock.Now() }
+// remaining returns the time until the deadline.
+func (r *request) remaining() time.Duration { return r.deadline - r.clock.Now() }
 
 func (r *request) repeatable() bool { return r.route.Kind.MayRepeat() }
 
@@ -183,8 +184,9 @@
 	return time.Duration(r.route.TargetLatencyMs * float64(time.Millisecond))
 }
 
-// fill builds the HTTP request of one attempt. Method, path, query and body stay as the caller sent them.
-func (r *request) fill(outgoing *fasthttp.Request, dialect Dialect, instance directory.Instance) {
+// buildOutgoing builds the HTTP request of one attempt. Method, path, query and body stay as the caller
+// sent them.
+func (r *request) buildOutgoing(outgoing *fasthttp.Request, dialect Dialect, instance directory.Instance) {
 	r.inbound.Header.CopyTo(&outgoing.Header)
 	for name := range strings.SplitSeq(string(r.inbound.Header.Peek(fasthttp.HeaderConnection)), ",") {
 		if name = strings.TrimSpace(name); name != "" {
@@ -204,8 +206,8 @@
 		outgoing.Header.SetContentLength(len(body))
 	}
 	outgoing.Header.Del(dialect.Deadline)
-	outgoing.Header.Set(dialect.Deadline, strconv.FormatInt(max(1, r.left().Milliseconds()), 10))
+	outgoing.Header.Set(dialect.Deadline, strconv.FormatInt(max(1, r.remaining().Milliseconds()), 10))
 	outgoing.Header.Del(dialect.ExpectInstance)
 	outgoing.Header.Set(dialect.ExpectInstance, instance.ID.Server())
-	r.fillTenant(outgoing, dialect)
+	r.setTenant(outgoing, dialect)
 }
--- a/internal/gateway/resting.go
+++ b/internal/gateway/resting.go
@@ -8,34 +8,34 @@
 	"github.com/valyala/fasthttp"
 )
 
-// restingConnections has the callers' connections on which no request is being served. It is safe for
+// idleConnections has the callers' connections on which no request is being served. It is safe for
 // concurrent use.
-type restingConnections struct {
-	mutex sync.Mutex
-	all   map[net.Conn]struct{}
+type idleConnections struct {
+	mutex       sync.Mutex
+	connections map[net.Conn]struct{}
 }
 
-func newRestingConnections() *restingConnections {
-	return &restingConnections{all: make(map[net.Conn]struct{})}
+func newIdleConnections() *idleConnections {
+	return &idleConnections{connections: make(map[net.Conn]struct{})}
 }
 
-// note applies a state change of a connection.
-func (r *restingConnections) note(connection net.Conn, change fasthttp.ConnState) {
+// update applies a state change of a connection.
+func (r *idleConnections) update(connection net.Conn, change fasthttp.ConnState) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	switch change {
 	case fasthttp.StateNew, fasthttp.StateIdle:
-		r.all[connection] = struct{}{}
+		r.connections[connection] = struct{}{}
 	default:
-		delete(r.all, connection)
+		delete(r.connections, connection)
 	}
 }
 
 // unread reports whether an idle connection has unread bytes of a request.
-func (r *restingConnections) unread() bool {
+func (r *idleConnections) unread() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	for connection := range r.all {
+	for connection := range r.connections {
 		if system, ok := connection.(syscall.Conn); ok && hasUnread(system) {
 			return true
 		}
--- a/internal/gateway/sendcheck.go
+++ b/internal/gateway/sendcheck.go
@@ -5,12 +5,12 @@
 	"github.com/thorntiller/thorntiller/internal/fault"
 )
 
-// maySendNow returns why a request may no longer be sent to the chosen instance; nil if it may. It is called
-// just before the first byte is written: the wait for a connection or for a turn on this machine's link may
-// have been long, and the machine may have been suspended since the choice.
-func (g *Gateway) maySendNow(current *request, instance directory.Instance) *fault.Error {
+// checkBeforeWrite returns why a request may no longer be sent to the chosen instance; nil if it may. It is
+// called just before the first byte is written: the wait for a connection or for a turn on this machine's
+// link may have been long, and the machine may have been suspended since the choice.
+func (g *Gateway) checkBeforeWrite(current *request, instance directory.Instance) *fault.Error {
 	current.withdrawn = true
-	if current.left() <= 0 {
+	if current.remaining() <= 0 {
 		return fault.New(fault.DeadlineBeforeStart, "the deadline passed before the request could be sent")
 	}
 	if g.maySendTo(current, instance) {
@@ -27,7 +27,7 @@
 		return false
 	}
 	instance, found := service.Instance(chosen.ID)
-	if !found || g.departed(instance) != nil {
+	if !found || g.leftFailure(instance) != nil {
 		return false
 	}
 	if current.keyed {
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -22,7 +22,7 @@
 	if err == nil {
 		g.budget(current.service).Fresh()
 		if current.keyed {
-			g.demand.arrived(current.service, current.key)
+			g.demand.countArrival(current.service, current.key)
 		}
 		err = g.executeWatched(context, current)
 	}
@@ -35,10 +35,10 @@
 	if g.stopping.Load() {
 		context.SetConnectionClose()
 	} else {
-		g.tellIdleTime(context)
+		g.setKeepAlive(context)
 	}
 	if connection, metered := context.Conn().(*meteredConnection); metered && current.route != nil {
-		connection.turn = g.pacer.turnOf(current, len(current.answer.Body()))
+		connection.turn = g.pacer.turnFunc(current, len(current.answer.Body()))
 	}
 	g.meter.Add(link.Out, link.Answers, len(current.answer.Body()))
 	g.observe(current, failure)
@@ -56,7 +56,7 @@
 
 // executeAdmitted executes the request if this machine's link has capacity for it.
 func (g *Gateway) executeAdmitted(current *request) error {
-	if err := g.admit(current); err != nil {
+	if err := g.admitToLink(current); err != nil {
 		return err
 	}
 	err := g.takeQuota(current)
@@ -67,13 +67,13 @@
 		err = g.execute(current)
 	}
 	g.returnQuota(current, err)
-	g.leaveLink(current, err == nil)
+	g.settleLink(current, err == nil)
 	return err
 }
 
-// tableWait is the share of the caller's timeout for which a request waits for the first directory: a request
-// that is refused later than that counts as held without success.
-const tableWait = 0.08
+// tableWaitShare is the share of the caller's timeout for which a request waits for the first directory: a
+// request that is refused later than that counts as held without success.
+const tableWaitShare = 0.08
 
 // awaitTable returns the table. A gateway that has just started waits a short time for it, since all other
 // gateways may have just started as well.
@@ -86,7 +86,7 @@
 	if err != nil || milliseconds <= 0 {
 		return nil
 	}
-	timer := time.NewTimer(time.Duration(tableWait * milliseconds * float64(time.Millisecond)))
+	timer := time.NewTimer(time.Duration(tableWaitShare * milliseconds * float64(time.Millisecond)))
 	defer timer.Stop()
 	select {
 	case <-changed:
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -17,8 +17,8 @@
 	defaultHeaderTimeout = 5 * time.Second
 	defaultIdleTimeout   = 30 * time.Second
 	// bodyTimeout is the timeout for the body of a request.
-	bodyTimeout = time.Minute
-	writeTime   = 30 * time.Second
+	bodyTimeout  = time.Minute
+	writeTimeout = 30 * time.Second
 )
 
 func (g *Gateway) newCallerServer() *fasthttp.Server {
@@ -31,7 +31,7 @@
 		ReadBufferSize:               defaultHeaderBytes,
 		MaxRequestBodySize:           defaultBodyBytes,
 		ReadTimeout:                  defaultHeaderTimeout,
-		WriteTimeout:                 writeTime,
+		WriteTimeout:                 writeTimeout,
 		IdleTimeout:                  defaultIdleTimeout,
 		NoDefaultServerHeader:        true,
 		NoDefaultContentType:         true,
@@ -45,7 +45,7 @@
 
 // requestConfig applies the operator's limits to a request whose header was received.
 func (g *Gateway) requestConfig(*fasthttp.RequestHeader) fasthttp.RequestConfig {
-	limited := fasthttp.RequestConfig{ReadTimeout: bodyTimeout, WriteTimeout: writeTime, MaxRequestBodySize: defaultBodyBytes}
+	limited := fasthttp.RequestConfig{ReadTimeout: bodyTimeout, WriteTimeout: writeTimeout, MaxRequestBodySize: defaultBodyBytes}
 	if table := g.subscription.current(); table != nil && table.Limits.MaxBodyBytes > 0 {
 		limited.MaxRequestBodySize = table.Limits.MaxBodyBytes
 	}
@@ -53,8 +53,8 @@
 }
 
 func (g *Gateway) countConnection(connection net.Conn, change fasthttp.ConnState) {
-	g.resting.note(connection, change)
-	g.boundWait(connection, change)
+	g.idleCallers.update(connection, change)
+	g.overrideReadDeadline(connection, change)
 	switch change {
 	case fasthttp.StateNew:
 		g.connections.Add(1)
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -16,8 +16,8 @@
 const (
 	// stopMargin is reserved from the stop timeout for the work after the last request.
 	stopMargin = 300 * time.Millisecond
-	// quietInterval is the interval at which incoming requests are checked for during a stop.
-	quietInterval = 100 * time.Millisecond
+	// incomingPollInterval is the interval at which incoming requests are checked for during a stop.
+	incomingPollInterval = 100 * time.Millisecond
 )
 
 // stop lets running requests finish. New connections are accepted until the platform has noticed that the
@@ -28,8 +28,8 @@
 	g.stopping.Store(true)
 	g.demand.stopping.Store(true)
 	time.Sleep(g.settings.StopNotice)
-	g.stopEnd.Store(&end)
-	g.awaitQuiet(end)
+	g.stopDeadline.Store(&end)
+	g.awaitIncoming(end)
 	bounded, cancel := context.WithTimeout(context.Background(), end-g.clock.Now())
 	defer cancel()
 	if err := server.ShutdownWithContext(bounded); err != nil && !eris.Is(err, net.ErrClosed) {
@@ -38,15 +38,16 @@
 	return nil
 }
 
-// awaitQuiet waits while requests may still be arriving, for at most half of the time until the end: requests
-// that are queued behind long answers on this machine's link, or that were received and not read yet.
-func (g *Gateway) awaitQuiet(end time.Duration) {
+// awaitIncoming waits while requests may still be arriving, for at most half of the time until the end:
+// requests that are queued behind long answers on this machine's link, or that were received and not read
+// yet.
+func (g *Gateway) awaitIncoming(end time.Duration) {
 	began := g.clock.Now()
 	latest := began + (end-began)/2
 	backlog := link.NewBacklog(g.settings.LinkMegabits, began, g.meter.Passed(link.In))
 	for g.clock.Now() < latest {
-		time.Sleep(quietInterval)
-		if !backlog.Waits(g.clock.Now(), g.meter.Passed(link.In)) && !g.resting.unread() {
+		time.Sleep(incomingPollInterval)
+		if !backlog.Waits(g.clock.Now(), g.meter.Passed(link.In)) && !g.idleCallers.unread() {
 			break
 		}
 	}
@@ -57,7 +58,7 @@
 // rejectBeforeStop rejects a request whose deadline is after the end of the stop: its caller is better served
 // by another gateway. Until StopNotice has passed all requests are accepted.
 func (g *Gateway) rejectBeforeStop(current *request) error {
-	end := g.stopEnd.Load()
+	end := g.stopDeadline.Load()
 	if end == nil || current.deadline <= *end {
 		return nil
 	}
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -19,7 +19,7 @@
 		t.Errorf("before a stop: %v", err)
 	}
 	end := now + time.Second
-	g.stopEnd.Store(&end)
+	g.stopDeadline.Store(&end)
 	if err := g.rejectBeforeStop(&request{deadline: end}); err != nil {
 		t.Errorf("a request that ends in time: %v", err)
 	}
@@ -45,21 +45,21 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = accepted.Close() }()
-	resting := newRestingConnections()
-	resting.note(accepted, fasthttp.StateNew)
-	if resting.unread() {
+	idle := newIdleConnections()
+	idle.update(accepted, fasthttp.StateNew)
+	if idle.unread() {
 		t.Error("unread bytes reported before anything was sent")
 	}
 	if _, err := caller.Write([]byte("GET")); err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(10 * time.Second); !resting.unread(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(10 * time.Second); !idle.unread(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("received bytes are not reported as unread")
 		}
 	}
-	resting.note(accepted, fasthttp.StateActive)
-	if resting.unread() {
+	idle.update(accepted, fasthttp.StateActive)
+	if idle.unread() {
 		t.Error("a connection with a request in progress counts as idle")
 	}
 }
--- a/internal/gateway/subscription.go
+++ b/internal/gateway/subscription.go
@@ -31,10 +31,10 @@
 	log      *logrus.Entry
 	// reload reads the settings again, in case the seeds changed.
 	reload func() (config.Gateway, error)
-	// changed is called with each new table.
-	changed func(*routing.Table)
-	// joined is called with the name of the cluster to which the directory belongs.
-	joined func(cluster string)
+	// onTable is called with each new table.
+	onTable func(*routing.Table)
+	// onCluster is called with the name of the cluster to which the directory belongs.
+	onCluster func(cluster string)
 
 	// viewLock guards the fields below it.
 	viewLock    sync.Mutex
@@ -50,20 +50,20 @@
 	// answered by a controller was sent.
 	provedAt    atomic.Pointer[time.Duration]
 	confirmedAt atomic.Pointer[time.Duration]
-	// reached is true once a controller has accepted a connection.
-	reached atomic.Bool
+	// controllerReached is true once a controller has accepted a connection.
+	controllerReached atomic.Bool
 	// peerStreams counts the gateways that follow the directory of this one.
 	peerStreams atomic.Int64
 	// updates is raised for each new table.
-	updates *broadcast.Broadcast
-	meter   *link.Meter
-	homing  homing
+	updates    *broadcast.Broadcast
+	meter      *link.Meter
+	homeSwitch homeSwitch
 }
 
 func newSubscription(system clock.Clock, settings config.Gateway, log *logrus.Entry, reload func() (config.Gateway, error), meter *link.Meter) *subscription {
 	return &subscription{
 		clock: system, settings: settings, log: log, reload: reload, view: directory.New(), updates: broadcast.New(), meter: meter,
-		changed: func(*routing.Table) {}, joined: func(string) {},
+		onTable: func(*routing.Table) {}, onCluster: func(string) {},
 	}
 }
 
@@ -123,13 +123,13 @@
 	address string
 	// peer is true for another gateway, false for a controller.
 	peer bool
-	// contest is the search in which the stream takes part as a candidate; nil for none.
-	contest   *race
+	// search is the search in which the stream takes part as a candidate; nil for none.
+	search    *race
 	candidate *candidate
 }
 
-// request returns the first message of a stream.
-func (s *subscription) request() message.DirectoryRequest {
+// firstRequest returns the first message of a stream.
+func (s *subscription) firstRequest() message.DirectoryRequest {
 	s.viewLock.Lock()
 	defer s.viewLock.Unlock()
 	return message.DirectoryRequest{Cluster: s.cluster, Revision: s.view.Revision(), Address: s.settings.PeerAddress}
@@ -141,26 +141,26 @@
 	defer cancel()
 	connection, err := wire.Dial(ctx, from.address, wire.Options{
 		DialTimeout: s.settings.BackEnd.ConnectTimeout, IdleTimeout: s.settings.PongTimeout, WriteTimeout: s.settings.PongTimeout,
-		Passed: streamOf(s.meter, link.Directory),
+		Passed: countAs(s.meter, link.Directory),
 	})
 	if err != nil {
 		return err
 	}
 	defer connection.Close()
 	defer context.AfterFunc(ctx, connection.Close)()
-	s.reached.Store(true)
-	if from.contest != nil && !from.contest.connected(from.candidate, connection) {
+	s.controllerReached.Store(true)
+	if from.search != nil && !from.search.connected(from.candidate, connection) {
 		return errAskedTwice
 	}
 	if err := connection.Send(ctx, &message.Hello{Purpose: message.PurposeDirectory, From: s.settings.Name}); err != nil {
 		return err
 	}
-	first := s.request()
+	first := s.firstRequest()
 	if err := connection.Send(ctx, &first); err != nil {
 		return err
 	}
 	if first.Revision == 0 && !from.peer {
-		if err := s.hearOfControllers(connection, from); err != nil {
+		if err := s.receiveControllers(connection, from); err != nil {
 			return err
 		}
 	}
@@ -216,22 +216,22 @@
 		if from.peer && s.confirmed() {
 			return errControllerAnswers
 		}
-		if err := s.take(update); err != nil {
+		if err := s.apply(update); err != nil {
 			return err
 		}
 		if update.Pong == 0 {
-			if s.clock.Now()-proved > s.patience(update) {
+			if s.clock.Now()-proved > s.proofTimeout(update) {
 				return errNoProof
 			}
 			continue
 		}
-		if from.contest != nil && !from.contest.claim(from.candidate) {
+		if from.search != nil && !from.search.claim(from.candidate) {
 			return errOtherController
 		}
 		proved = s.clock.Now()
 		s.confirm(pings.sentAt[update.Pong%pingsKept].Load(), from)
-		if s.goesHome(from) {
-			return errGoesHome
+		if s.shouldSwitchHome(from) {
+			return errSwitchToHome
 		}
 		if !logged {
 			logged = true
@@ -255,20 +255,20 @@
 	return s.view.Revision()
 }
 
-// catchUp is the factor by which the wait for a proof is extended while changes arrive: they take time on a
-// narrow link, and the proof is queued behind them.
-const catchUp = 4
+// changesTimeoutFactor is the factor by which the wait for a proof is extended while changes arrive: they
+// take time on a narrow link, and the proof is queued behind them.
+const changesTimeoutFactor = 4
 
-// patience returns how long to wait for a proof after an update.
-func (s *subscription) patience(update message.DirectoryUpdate) time.Duration {
+// proofTimeout returns how long to wait for a proof after an update.
+func (s *subscription) proofTimeout(update message.DirectoryUpdate) time.Duration {
 	if update.Changes != nil {
-		return catchUp * s.settings.PongTimeout
+		return changesTimeoutFactor * s.settings.PongTimeout
 	}
 	return s.settings.PongTimeout
 }
 
-// take applies an update. After an error the whole directory is requested.
-func (s *subscription) take(update message.DirectoryUpdate) error {
+// apply applies an update. After an error the whole directory is requested.
+func (s *subscription) apply(update message.DirectoryUpdate) error {
 	s.viewLock.Lock()
 	defer s.viewLock.Unlock()
 	if update.Peers != nil {
@@ -286,7 +286,7 @@
 	earlier := s.table.Load()
 	if update.Cluster != "" && update.Cluster != s.cluster {
 		s.cluster = update.Cluster
-		s.joined(string(update.Cluster))
+		s.onCluster(string(update.Cluster))
 		s.view = directory.New()
 		earlier = nil
 	}
@@ -299,7 +299,7 @@
 	}
 	table := routing.Build(s.view, earlier)
 	s.table.Store(table)
-	s.changed(table)
+	s.onTable(table)
 	s.updates.Raise()
 	return nil
 }
--- a/internal/gateway/suspension_test.go
+++ b/internal/gateway/suspension_test.go
@@ -23,7 +23,7 @@
 // time without a controller is counted too short.
 func TestSuspensionAgesTheDirectory(t *testing.T) {
 	machine := &manualClock{}
-	g := &Gateway{clock: machine, subscription: newSubscription(machine, config.DefaultGateway(), quiet(), nil, &link.Meter{})}
+	g := &Gateway{clock: machine, subscription: newSubscription(machine, config.DefaultGateway(), discardLog(), nil, &link.Meter{})}
 	g.settings.Revocation = config.Revocation{FailClosed: true, Limit: suspension / 2}
 	confirmed := machine.Now()
 	g.subscription.confirm(&confirmed, source{})
@@ -42,10 +42,10 @@
 	machine := &manualClock{}
 	leaving := directory.Instance{ID: "i", Zone: "west", State: directory.InstanceDraining}
 	drains := newDrains(machine, suspension/2)
-	drains.note(&routing.Table{Changed: []*directory.Instance{&leaving}})
+	drains.update(&routing.Table{Changed: []*directory.Instance{&leaving}})
 	zones := newEvacuations(machine, suspension)
-	zones.note(&routing.Table{})
-	zones.note(&routing.Table{Evacuated: []string{"west"}})
+	zones.update(&routing.Table{})
+	zones.update(&routing.Table{Evacuated: []string{"west"}})
 	if !drains.mayServe(leaving) || zones.excludesHolder(leaving) {
 		t.Fatal("the instance must still get requests before the suspension")
 	}
@@ -124,7 +124,7 @@
 			machine := &manualClock{}
 			settings := config.DefaultGateway()
 			settings.Name, settings.Seeds = "g", []string{"127.0.0.1:1"}
-			g, err := newWithClock(machine, settings, quiet(), Options{})
+			g, err := newWithClock(machine, settings, discardLog(), Options{})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -160,13 +160,13 @@
 	machine := &manualClock{}
 	current := newRequest(machine)
 	watch := newCallers()
-	watch.watched[1] = watched{left: current.left, interrupt: current.interrupt}
-	watch.look(func(watched) bool { return false })
+	watch.watched[1] = watched{remaining: current.remaining, interrupt: current.interrupt}
+	watch.poll(func(watched) bool { return false })
 	if current.interrupt.Fired() {
 		t.Fatal("aborted before the deadline")
 	}
 	machine.suspend(suspension)
-	watch.look(func(watched) bool { return false })
+	watch.poll(func(watched) bool { return false })
 	if !current.interrupt.Fired() {
 		t.Fatal("the request was not aborted after its deadline")
 	}
--- a/internal/gateway/tenant.go
+++ b/internal/gateway/tenant.go
@@ -48,8 +48,8 @@
 	return g.settings.Revocation.FailClosed && limit > 0 && g.subscription.confirmedAge() > limit
 }
 
-// fillTenant sets the tenant header for the instance, whatever the caller sent, and removes the API key.
-func (r *request) fillTenant(outgoing *fasthttp.Request, dialect Dialect) {
+// setTenant sets the tenant header for the instance, whatever the caller sent, and removes the API key.
+func (r *request) setTenant(outgoing *fasthttp.Request, dialect Dialect) {
 	outgoing.Header.Del(dialect.Tenant)
 	if r.tenant != nil {
 		outgoing.Header.Set(dialect.Tenant, r.tenant.Name)
--- a/internal/gateway/tokens.go
+++ b/internal/gateway/tokens.go
@@ -18,13 +18,13 @@
 	accounts *quota.Accounts
 	// changed wakes the requests that wait for a token.
 	changed *broadcast.Broadcast
-	// urgent gets an entry when the leader is to be asked at once.
-	urgent chan struct{}
+	// askNow gets an entry when the leader is to be asked at once.
+	askNow chan struct{}
 }
 
-func newTokens(system clock.Clock, policy quota.Policy, urgent chan struct{}) *tokens {
+func newTokens(system clock.Clock, policy quota.Policy, askNow chan struct{}) *tokens {
 	return &tokens{
-		clock: system, accounts: quota.NewAccounts(policy, rand.Float64), changed: broadcast.New(), urgent: urgent,
+		clock: system, accounts: quota.NewAccounts(policy, rand.Float64), changed: broadcast.New(), askNow: askNow,
 	}
 }
 
@@ -37,19 +37,19 @@
 
 // take takes a token, and waits up to quota.AnswerTime for one. Left reports whether the caller has
 // disconnected.
-func (t *tokens) take(subject quota.Subject, left func() bool) (quota.Verdict, time.Duration) {
+func (t *tokens) take(subject quota.Subject, disconnected func() bool) (quota.Verdict, time.Duration) {
 	began := t.clock.Now()
 	changed := t.changed.Next()
-	verdict, retryIn := t.arrive(subject, false)
+	verdict, retryIn := t.tryTake(subject, false)
 	if verdict != quota.Wait {
 		return verdict, retryIn
 	}
-	t.wait(subject, 1)
-	defer t.wait(subject, -1)
-	t.askAtOnce()
+	t.addWaiting(subject, 1)
+	defer t.addWaiting(subject, -1)
+	t.triggerAsk()
 	ticker := time.NewTicker(quota.AskPause)
 	defer ticker.Stop()
-	for verdict == quota.Wait && !left() {
+	for verdict == quota.Wait && !disconnected() {
 		if t.clock.Now()-began >= quota.AnswerTime {
 			return t.giveUp(subject, began)
 		}
@@ -59,7 +59,7 @@
 			t.askIfDue()
 		}
 		changed = t.changed.Next()
-		verdict, retryIn = t.arrive(subject, true)
+		verdict, retryIn = t.tryTake(subject, true)
 	}
 	return verdict, retryIn
 }
@@ -70,21 +70,21 @@
 	return t.accounts.GiveUp(t.clock.Now(), subject, since)
 }
 
-func (t *tokens) arrive(subject quota.Subject, waited bool) (quota.Verdict, time.Duration) {
+func (t *tokens) tryTake(subject quota.Subject, waited bool) (quota.Verdict, time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.accounts.Arrive(t.clock.Now(), subject, waited)
 }
 
-func (t *tokens) wait(subject quota.Subject, change int) {
+func (t *tokens) addWaiting(subject quota.Subject, change int) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.accounts.AddWaiting(t.clock.Now(), subject, change)
 }
 
-func (t *tokens) askAtOnce() {
+func (t *tokens) triggerAsk() {
 	select {
-	case t.urgent <- struct{}{}:
+	case t.askNow <- struct{}{}:
 	default:
 	}
 }
@@ -103,7 +103,7 @@
 	return t.accounts.Unanswered(t.clock.Now())
 }
 
-func (t *tokens) answered(grants []quota.Grant) {
+func (t *tokens) applyGrants(grants []quota.Grant) {
 	t.mutex.Lock()
 	t.accounts.Answered(t.clock.Now(), grants)
 	t.mutex.Unlock()
@@ -117,7 +117,7 @@
 	due := t.accounts.AskDue(t.clock.Now())
 	t.mutex.Unlock()
 	if due {
-		t.askAtOnce()
+		t.triggerAsk()
 	}
 }
 
--- a/internal/gateway/unreachable.go
+++ b/internal/gateway/unreachable.go
@@ -18,34 +18,34 @@
 // instances failed that the balancer ejects none. It is safe for concurrent use.
 type unreachable struct {
 	// none is true while all instances are reachable, which is nearly always; requests then take no lock.
-	none  atomic.Bool
-	mutex sync.Mutex
-	until map[directory.InstanceID]time.Duration
+	none        atomic.Bool
+	mutex       sync.Mutex
+	pausedUntil map[directory.InstanceID]time.Duration
 }
 
 func newUnreachable() *unreachable {
-	u := &unreachable{until: make(map[directory.InstanceID]time.Duration)}
+	u := &unreachable{pausedUntil: make(map[directory.InstanceID]time.Duration)}
 	u.none.Store(true)
 	return u
 }
 
-// note records that a connection to an instance failed.
-func (u *unreachable) note(now time.Duration, id directory.InstanceID) {
+// record notes that a connection to an instance failed.
+func (u *unreachable) record(now time.Duration, id directory.InstanceID) {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
-	u.until[id] = now + unreachablePause
+	u.pausedUntil[id] = now + unreachablePause
 	u.none.Store(false)
 }
 
-// reached records that an instance answered.
-func (u *unreachable) reached(id directory.InstanceID) {
+// clear removes the record of an instance that answered.
+func (u *unreachable) clear(id directory.InstanceID) {
 	if u.none.Load() {
 		return
 	}
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
-	delete(u.until, id)
-	u.none.Store(len(u.until) == 0)
+	delete(u.pausedUntil, id)
+	u.none.Store(len(u.pausedUntil) == 0)
 }
 
 // paused reports whether an instance gets no requests now.
@@ -55,7 +55,7 @@
 	}
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
-	return now < u.until[id]
+	return now < u.pausedUntil[id]
 }
 
 // mayAsk reports whether a request may be sent to an instance now. The first request after the pause starts
@@ -66,14 +66,14 @@
 	}
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
-	until, found := u.until[id]
+	until, found := u.pausedUntil[id]
 	if !found {
 		return true
 	}
 	if now < until {
 		return false
 	}
-	u.until[id] = now + unreachablePause
+	u.pausedUntil[id] = now + unreachablePause
 	return true
 }
 
@@ -81,10 +81,10 @@
 func (u *unreachable) forget(known func(directory.InstanceID) bool) {
 	u.mutex.Lock()
 	defer u.mutex.Unlock()
-	for id := range u.until {
+	for id := range u.pausedUntil {
 		if !known(id) {
-			delete(u.until, id)
+			delete(u.pausedUntil, id)
 		}
 	}
-	u.none.Store(len(u.until) == 0)
+	u.none.Store(len(u.pausedUntil) == 0)
 }
--- a/internal/gateway/unreachable_test.go
+++ b/internal/gateway/unreachable_test.go
@@ -16,7 +16,7 @@
 	if !u.mayAsk(now, "a") {
 		t.Error("a holder must be asked before anything failed")
 	}
-	u.note(now, "a")
+	u.record(now, "a")
 	if u.mayAsk(now, "a") || !u.mayAsk(now, "b") {
 		t.Error("only the holder that cannot be reached must be left out")
 	}
@@ -24,15 +24,15 @@
 	if !u.mayAsk(now, "a") || u.mayAsk(now, "a") {
 		t.Error("after the pause exactly one request must probe the holder")
 	}
-	u.reached("a")
+	u.clear("a")
 	for range 2 {
 		if !u.mayAsk(now, "a") {
 			t.Error("a holder that answered must be asked")
 		}
 	}
-	u.note(now, "a")
+	u.record(now, "a")
 	u.forget(func(directory.InstanceID) bool { return false })
-	if len(u.until) != 0 {
+	if len(u.pausedUntil) != 0 {
 		t.Error("an instance that is gone must be forgotten")
 	}
 }
