--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -115,7 +115,7 @@
 	}
 	if failure == nil {
 		g.meter.Add(link.In, link.Answers, len(current.answer.Body()))
-		rest := g.noteSignal(current, instance, sentAt)
+		rest := g.recordSignal(current, instance, sentAt)
 		failure = g.refusalOf(current.answer)
 		if failure != nil && rest > 0 {
 			failure = restingFailure(current, instance.ID, rest)
@@ -192,7 +192,7 @@
 		g.unreachable.record(outcome.Now, instance.ID)
 	}
 	if failure == nil {
-		g.unreachable.clear(instance.ID)
+		g.unreachable.markReachable(instance.ID)
 	}
 	g.endPlace(current, took, failure)
 	g.endInstanceToken(current, failure)
--- a/internal/gateway/backpressure.go
+++ b/internal/gateway/backpressure.go
@@ -234,9 +234,9 @@
 	g.attemptEnded.Raise()
 }
 
-// noteSignal records the signal in a complete answer of an instance, and returns the rest that it asks for;
+// recordSignal records the signal in a complete answer of an instance, and returns the rest that it asks for;
 // zero for none. An answer with status 421 is ignored: it may come from another instance at that address.
-func (g *Gateway) noteSignal(current *request, instance directory.Instance, sentAt time.Duration) time.Duration {
+func (g *Gateway) recordSignal(current *request, instance directory.Instance, sentAt time.Duration) time.Duration {
 	answer := current.answer
 	if answer.StatusCode() == fasthttp.StatusMisdirectedRequest {
 		return 0
--- a/internal/gateway/request.go
+++ b/internal/gateway/request.go
@@ -59,8 +59,8 @@
 	// placeAsked is true once a keeper was asked for a place, and place is the place that it granted.
 	placeAsked bool
 	place      *heldPlace
-	// noCapacity is true if no place is available in time, and retryIn is the expected time until there is
-	// capacity.
+	// noCapacity is true if no place is available in time. retryIn is the time after which the caller is
+	// told to retry, for failures that determine one: no place, a limit without tokens, or a rest.
 	noCapacity bool
 	retryIn    time.Duration
 	// rejectedWithCapacity is true if the instance that rejected the request last should have had capacity
@@ -70,8 +70,8 @@
 	quotaTaken bool
 	// tokenInstance is the instance whose token the request holds; empty for none.
 	tokenInstance directory.InstanceID
-	// limitedAt has the instances whose rate limits had no capacity for the request, and limited is the last
-	// failure for that reason; nil for none.
+	// limitedAt has the instances whose rate limits had no capacity for the request, and limitFailure is
+	// the last failure for that reason; nil for none.
 	limitedAt    []directory.InstanceID
 	limitFailure *fault.Error
 	// restFailure is the failure for the instance whose rest ends first; nil for none.
--- a/internal/gateway/tokens.go
+++ b/internal/gateway/tokens.go
@@ -35,7 +35,7 @@
 	t.accounts.Refund(t.clock.Now(), subject)
 }
 
-// take takes a token, and waits up to quota.AnswerTime for one. Left reports whether the caller has
+// take takes a token, and waits up to quota.AnswerTime for one. Disconnected reports whether the caller has
 // disconnected.
 func (t *tokens) take(subject quota.Subject, disconnected func() bool) (quota.Verdict, time.Duration) {
 	began := t.clock.Now()
--- a/internal/gateway/unreachable.go
+++ b/internal/gateway/unreachable.go
@@ -37,8 +37,8 @@
 	u.none.Store(false)
 }
 
-// clear removes the record of an instance that answered.
-func (u *unreachable) clear(id directory.InstanceID) {
+// markReachable removes the record of an instance that answered.
+func (u *unreachable) markReachable(id directory.InstanceID) {
 	if u.none.Load() {
 		return
 	}
--- a/internal/gateway/unreachable_test.go
+++ b/internal/gateway/unreachable_test.go
@@ -24,7 +24,7 @@
 	if !u.mayAsk(now, "a") || u.mayAsk(now, "a") {
 		t.Error("after the pause exactly one request must probe the holder")
 	}
-	u.clear("a")
+	u.markReachable("a")
 	for range 2 {
 		if !u.mayAsk(now, "a") {
 			t.Error("a holder that answered must be asked")
