--- a/internal/gateway/backpressure.go
+++ b/internal/gateway/backpressure.go
@@ -16,15 +16,14 @@
 	"github.com/thorntiller/thorntiller/internal/telemetry"
 )
 
-// instanceSignals keeps what instances tell in their answers of the requests that they take.
-// It is safe for concurrent use.
+// instanceSignals tracks the load signals in the answers of instances. It is safe for concurrent use.
 type instanceSignals struct {
 	mutex   sync.Mutex
 	tracker *backpressure.Tracker
-	// signalling is the number of instances that told anything: mostly none, and choices among
-	// hundreds of instances need not ask for each.
+	// signalling is the number of instances that sent a signal. It is mostly zero, and choices among hundreds
+	// of instances then take no lock for each.
 	signalling atomic.Int64
-	// reported are the instances of which a header that cannot be read was logged.
+	// reported has the instances for which an unreadable header was already logged.
 	reported map[directory.InstanceID]bool
 }
 
@@ -32,7 +31,7 @@
 	return &instanceSignals{tracker: backpressure.NewTracker(), reported: make(map[directory.InstanceID]bool)}
 }
 
-// forget drops the instances that are not known.
+// forget drops the instances that are no longer known.
 func (s *instanceSignals) forget(known func(directory.InstanceID) bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -45,9 +44,9 @@
 	}
 }
 
-// note takes the signal of an answer, and reports whether a header of the instance is
-// unreadable for the first time.
-func (s *instanceSignals) note(now, sentAt time.Duration, id directory.InstanceID, signal backpressure.Signal, unreadable bool) (backpressure.Change, bool) {
+// record stores the signal in an answer, and reports whether this is the first unreadable header of the
+// instance.
+func (s *instanceSignals) record(now, sentAt time.Duration, id directory.InstanceID, signal backpressure.Signal, unreadable bool) (backpressure.Change, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	first := unreadable && !s.reported[id]
@@ -59,8 +58,8 @@
 	return change, first
 }
 
-// limit returns the limit of an instance in requests a second, zero for none, and how long ago an
-// answer repeated it.
+// limit returns the rate limit of an instance in requests per second, zero for none, and how long ago an
+// answer last repeated it.
 func (s *instanceSignals) limit(now time.Duration, id directory.InstanceID) (limit float64, age time.Duration) {
 	if s.signalling.Load() == 0 {
 		return 0, 0
@@ -70,8 +69,9 @@
 	return s.tracker.Limit(now, id)
 }
 
-// splitByLimit tells the instances that named a limit from the others. One that has not repeated
-// it for long counts as unlimited, so that a request finds out whether the limit still holds.
+// splitByLimit separates the instances that advertise a rate limit from the others. One that has not repeated
+// its limit for limitCheckInterval counts as unlimited, so that a request finds out whether the limit still
+// holds.
 func (s *instanceSignals) splitByLimit(now time.Duration, instances []directory.Instance) (unlimited, limited []directory.Instance) {
 	if s.signalling.Load() == 0 {
 		return instances, nil
@@ -88,11 +88,11 @@
 	return unlimited, limited
 }
 
-// limitCheckInterval is how long a gateway spares an instance without keys that named a limit
-// before it asks whether that still holds.
+// limitCheckInterval is how long a gateway avoids an instance without keys that advertises a rate limit before
+// it checks whether the limit still holds.
 const limitCheckInterval = 5 * time.Second
 
-// rest returns for how long no request may be sent to an instance; zero if one may.
+// rest returns how long no request may be sent to an instance; zero if one may be sent now.
 func (s *instanceSignals) rest(now time.Duration, id directory.InstanceID) time.Duration {
 	if s.signalling.Load() == 0 {
 		return 0
@@ -102,8 +102,8 @@
 	return s.tracker.Rest(now, id)
 }
 
-// begin is rest for a request that is sent at once if it may.
-func (s *instanceSignals) begin(now time.Duration, id directory.InstanceID) time.Duration {
+// beginSend is like rest, for a request that is sent at once if it may be.
+func (s *instanceSignals) beginSend(now time.Duration, id directory.InstanceID) time.Duration {
 	if s.signalling.Load() == 0 {
 		return 0
 	}
@@ -112,7 +112,7 @@
 	return s.tracker.Begin(now, id)
 }
 
-// leaving returns for how long an instance has said that it leaves; false if it has not.
+// leaving returns how long ago an instance first signalled that it is leaving; false if it has not.
 func (s *instanceSignals) leaving(now time.Duration, id directory.InstanceID) (time.Duration, bool) {
 	if s.signalling.Load() == 0 {
 		return 0, false
@@ -122,34 +122,35 @@
 	return s.tracker.Leaving(now, id)
 }
 
-// heldBack returns why a request may not go to the holder of its key, by what that told; nil if it
-// may.
-func (g *Gateway) heldBack(current *request, holder directory.Instance) *fault.Error {
+// checkHolder returns why a request may not be sent to the holder of its key because of that instance's
+// signals; nil if it may.
+func (g *Gateway) checkHolder(current *request, holder directory.Instance) *fault.Error {
 	now := g.clock.Now()
 	if wait := g.signals.rest(now, holder.ID); wait > 0 {
-		return resting(current, holder.ID, wait)
+		return restingFailure(current, holder.ID, wait)
 	}
-	return g.departed(holder)
+	return g.leftFailure(holder)
 }
 
-// departed returns the failure for an instance that has said for too long that it leaves; nil for none.
-func (g *Gateway) departed(instance directory.Instance) *fault.Error {
+// leftFailure returns the failure for an instance that signalled longer than DrainTime ago that it is leaving;
+// nil for none.
+func (g *Gateway) leftFailure(instance directory.Instance) *fault.Error {
 	if since, leaves := g.signals.leaving(g.clock.Now(), instance.ID); leaves && since >= g.settings.DrainTime {
 		return fault.Newf(fault.NoOwner, "instance %s leaves, as it said first %s ago", instance.ID, since.Round(time.Millisecond))
 	}
 	return nil
 }
 
-// maySend is the last check before a request is sent: what an instance told may have come while
-// the request waited for its turn. A nil error means that it is sent at once.
-func (g *Gateway) maySend(current *request, instance directory.Instance) *fault.Error {
+// checkBeforeSend checks an instance just before the request is sent, since its signals may have arrived
+// while the request waited. A nil error means that the request is sent at once.
+func (g *Gateway) checkBeforeSend(current *request, instance directory.Instance) *fault.Error {
 	if failure := g.takeInstanceToken(current, instance); failure != nil {
 		return failure
 	}
-	failure := g.departed(instance)
+	failure := g.leftFailure(instance)
 	if failure == nil {
-		if wait := g.signals.begin(g.clock.Now(), instance.ID); wait > 0 {
-			failure = resting(current, instance.ID, wait)
+		if wait := g.signals.beginSend(g.clock.Now(), instance.ID); wait > 0 {
+			failure = restingFailure(current, instance.ID, wait)
 		}
 	}
 	if failure == nil {
@@ -161,22 +162,23 @@
 	return failure
 }
 
-// resting is the failure of a request for an instance that rests, and notes how long that lasts.
-func resting(current *request, id directory.InstanceID, wait time.Duration) *fault.Error {
+// restingFailure returns the failure of a request for an instance at rest, and records how long the rest lasts.
+func restingFailure(current *request, id directory.InstanceID, wait time.Duration) *fault.Error {
 	current.retryIn = wait
 	return fault.Newf(fault.ServerResting, "instance %s wants no requests of this gateway for %s", id, wait.Round(time.Millisecond))
 }
 
-// noteResting keeps the instance whose rest ends first, of those that would have served a request.
-func (r *request) noteResting(id directory.InstanceID, wait time.Duration) {
-	known := r.resting != nil || r.limited != nil
+// recordResting keeps the failure of the instance whose rest ends first, of those that could have served the
+// request.
+func (r *request) recordResting(id directory.InstanceID, wait time.Duration) {
+	known := r.restFailure != nil || r.limitFailure != nil
 	if !known || wait < r.retryIn {
-		r.resting = resting(r, id, wait)
+		r.restFailure = restingFailure(r, id, wait)
 	}
 }
 
-// takeInstanceToken takes a token for a request that is about to be sent to an instance that named
-// a limit. The limit is for all gateways together, so that the tokens come from the leader.
+// takeInstanceToken takes a token for a request that is about to be sent to an instance with a rate limit. The
+// limit is for all gateways together, so the leader grants the tokens.
 func (g *Gateway) takeInstanceToken(current *request, instance directory.Instance) *fault.Error {
 	limit, age := g.signals.limit(g.clock.Now(), instance.ID)
 	if limit == 0 {
@@ -187,7 +189,7 @@
 		Urgency: uint8(quota.MostUrgent * current.urgency),
 	}, current.interrupt.Fired)
 	if verdict == quota.Taken {
-		current.tokenOf = instance.ID
+		current.tokenInstance = instance.ID
 		if !current.keyed || g.stillHolds(current, instance.ID) {
 			return nil
 		}
@@ -198,74 +200,74 @@
 		current.retryIn = retryIn
 	}
 	current.limitedAt = append(current.limitedAt, instance.ID)
-	current.limited = fault.Newf(fault.ServerLimited, "instance %s takes %g requests a second from all gateways, as it said %s ago",
+	current.limitFailure = fault.Newf(fault.ServerLimited, "instance %s takes %g requests a second from all gateways, as it said %s ago",
 		instance.ID, limit, age.Round(time.Millisecond))
-	return current.limited
+	return current.limitFailure
 }
 
-// endInstanceToken gives the token of an attempt back if nothing reached the instance.
+// endInstanceToken refunds the token of an attempt if nothing reached the instance.
 func (g *Gateway) endInstanceToken(current *request, failure *fault.Error) {
 	if failure == nil {
-		current.tokenOf = ""
+		current.tokenInstance = ""
 		return
 	}
 	switch {
 	case current.withdrawn, failure.Kind == fault.ConnectFailed, failure.Kind == fault.QueueFull, failure.Kind == fault.CancelledBeforeStart:
 		g.refundInstanceToken(current)
 	default:
-		current.tokenOf = ""
+		current.tokenInstance = ""
 	}
 }
 
 func (g *Gateway) refundInstanceToken(current *request) {
-	if current.tokenOf != "" {
-		g.instanceTokens.refund(string(current.tokenOf))
-		current.tokenOf = ""
+	if current.tokenInstance != "" {
+		g.instanceTokens.refund(string(current.tokenInstance))
+		current.tokenInstance = ""
 	}
 }
 
-// giveBack undoes the choice of an instance for a request that is not sent to it.
-func (g *Gateway) giveBack(current *request, instance directory.Instance) {
+// releaseInstance undoes the choice of an instance for a request that is not sent to it.
+func (g *Gateway) releaseInstance(current *request, instance directory.Instance) {
 	g.balancer.Release(instance.ID)
 	current.place.end(room.Unused, 0)
 	current.place = nil
-	g.slots.Raise()
+	g.attemptEnded.Raise()
 }
 
-// noteSignal takes what a whole answer of an instance tells, and returns the rest that it asks
-// for; zero for none. An answer with status 421 may come from another instance at its address.
-func (g *Gateway) noteSignal(current *request, instance directory.Instance, sentAt time.Duration) time.Duration {
+// recordSignal records the signal in a complete answer of an instance, and returns the rest that it asks for;
+// zero for none. An answer with status 421 is ignored: it may come from another instance at that address.
+func (g *Gateway) recordSignal(current *request, instance directory.Instance, sentAt time.Duration) time.Duration {
 	answer := current.answer
 	if answer.StatusCode() == fasthttp.StatusMisdirectedRequest {
 		return 0
 	}
 	signal, err := g.readSignal(answer)
-	change, first := g.signals.note(g.clock.Now(), sentAt, instance.ID, signal, err != nil)
+	change, first := g.signals.record(g.clock.Now(), sentAt, instance.ID, signal, err != nil)
 	line := func(event telemetry.Event) *logrus.Entry {
 		return telemetry.With(g.log, event).WithField(telemetry.FieldServer, instance.ID).
 			WithField(telemetry.FieldService, instance.Service).WithField(telemetry.FieldRequest, current.id)
 	}
 	if first {
-		line(telemetry.EventServerUnreadable).WithField(telemetry.FieldError, err.Error()).Warn("header of an instance unreadable")
+		line(telemetry.EventServerUnreadable).WithField(telemetry.FieldError, err.Error()).Warn("cannot parse a load signal header of an instance")
 	}
 	if change.Limit {
-		line(telemetry.EventServerLimit).WithField("limit", change.To).WithField("limit_before", change.From).Info("limit of an instance changed")
+		line(telemetry.EventServerLimit).WithField("limit", change.To).WithField("limit_before", change.From).Info("rate limit of an instance changed")
 	}
 	if change.Leaving {
-		line(telemetry.EventServerSaysLeaving).Info("instance says that it leaves")
+		line(telemetry.EventServerSaysLeaving).Info("instance signals that it is leaving")
 	}
 	if change.Rest {
-		line(telemetry.EventServerRest).WithField("rest_ms", signal.Rest.Milliseconds()).Info("instance asks for rest")
+		line(telemetry.EventServerRest).WithField("rest_ms", signal.Rest.Milliseconds()).Info("instance asks to get no requests for a while")
 	}
 	return signal.Rest
 }
 
-// readSignal reads the headers of an answer. The error tells of the first that cannot be read.
+// readSignal parses the signal headers of an answer. The error describes the first one that cannot be parsed.
 func (g *Gateway) readSignal(answer *fasthttp.Response) (backpressure.Signal, error) {
 	var signal backpressure.Signal
 	var failure error
 	if values := answer.Header.PeekAll(g.dialect.Limit); len(values) > 0 {
-		limit, readable, err := backpressure.ParseLimit(asStrings(values))
+		limit, readable, err := backpressure.ParseLimit(toStrings(values))
 		signal.Limit, signal.LimitUnreadable = limit, !readable
 		failure = err
 	}
@@ -283,10 +285,10 @@
 	return signal, failure
 }
 
-// leavingValue is the value of the header by which an instance says that it leaves.
+// leavingValue is the value of the header by which an instance signals that it is leaving.
 const leavingValue = "1"
 
-func asStrings(values [][]byte) []string {
+func toStrings(values [][]byte) []string {
 	read := make([]string, 0, len(values))
 	for _, value := range values {
 		read = append(read, string(value))
--- a/internal/gateway/connectiontimes.go
+++ b/internal/gateway/connectiontimes.go
@@ -12,81 +12,81 @@
 )
 
 const (
-	// idleSlack is added to the time for which the operator lets connections rest: a request that is
-	// sent at its end must not cross the close of its connection.
+	// idleSlack is added to the idle timeout that the operator sets, so that a request sent just before it
+	// does not cross the close of its connection.
 	idleSlack = time.Second
-	// toldIdleMargin is taken off the time that callers are told where the operator says none.
-	toldIdleMargin = 5 * time.Second
+	// keepAliveHeaderMargin is subtracted from the default idle timeout in the Keep-Alive header.
+	keepAliveHeaderMargin = 5 * time.Second
 )
 
-// connectionTimes bound the waits for a caller.
-type connectionTimes struct {
-	// header is how long the header of a request may take, and idle how long a connection may rest
+// connectionTimeouts are the timeouts of the waits for a caller.
+type connectionTimeouts struct {
+	// header is the timeout for the header of a request, and idle the time that a connection may be idle
 	// between two requests.
 	header, idle time.Duration
 }
 
-// timesOf returns those of the operator's limits.
-func timesOf(limits directory.Limits) connectionTimes {
-	times := connectionTimes{header: defaultHeaderTimeout, idle: defaultIdleTimeout}
+// timeoutsOf returns the timeouts according to the operator's limits.
+func timeoutsOf(limits directory.Limits) connectionTimeouts {
+	timeouts := connectionTimeouts{header: defaultHeaderTimeout, idle: defaultIdleTimeout}
 	if limits.HeaderTimeoutMs > 0 {
-		times.header = time.Duration(limits.HeaderTimeoutMs * float64(time.Millisecond))
+		timeouts.header = time.Duration(limits.HeaderTimeoutMs * float64(time.Millisecond))
 	}
 	if limits.IdleTimeoutMs > 0 {
-		times.idle = time.Duration(limits.IdleTimeoutMs*float64(time.Millisecond)) + idleSlack
+		timeouts.idle = time.Duration(limits.IdleTimeoutMs*float64(time.Millisecond)) + idleSlack
 	}
-	return times
+	return timeouts
 }
 
-func (g *Gateway) connectionTimes() connectionTimes {
+func (g *Gateway) connectionTimeouts() connectionTimeouts {
 	if table := g.subscription.current(); table != nil {
-		return timesOf(table.Limits)
+		return timeoutsOf(table.Limits)
 	}
-	return timesOf(directory.Limits{})
+	return timeoutsOf(directory.Limits{})
 }
 
-// tellIdleTime tells a caller how long its connection may rest, where the operator does not: callers
-// know the operator's limits.
-func (g *Gateway) tellIdleTime(context *fasthttp.RequestCtx) {
+// setKeepAlive tells the caller the idle timeout of its connection, unless the operator sets one, which
+// callers know.
+func (g *Gateway) setKeepAlive(context *fasthttp.RequestCtx) {
 	if table := g.subscription.current(); table != nil && table.Limits.IdleTimeoutMs > 0 {
 		return
 	}
-	seconds := int((defaultIdleTimeout - toldIdleMargin).Seconds())
+	seconds := int((defaultIdleTimeout - keepAliveHeaderMargin).Seconds())
 	context.Response.Header.Set(fasthttp.HeaderKeepAlive, "timeout="+strconv.Itoa(seconds))
 }
 
-// waitBound replaces the bound of the next wait for a caller, which the server sets from settings that
-// cannot change.
-type waitBound struct {
-	// next is that bound; zero leaves the server's. Served is true once a request was answered.
+// readDeadlineOverride overrides the deadline of the next wait for a caller, which the server derives from
+// settings that cannot change.
+type readDeadlineOverride struct {
+	// next is the timeout of that wait; zero keeps the server's. served is true once a request was answered.
 	next   atomic.Int64
 	served bool
 }
 
-// enter takes a change of the connection's state. A new connection waits for a header, and so does one
-// on which the first byte of a further request came; one that was served rests.
-func (b *waitBound) enter(change fasthttp.ConnState, times connectionTimes) {
+// connStateChanged applies a state change of the connection. A new connection waits for a header, and so
+// does one that received the first byte of a further request; after a request the connection is idle.
+func (o *readDeadlineOverride) connStateChanged(change fasthttp.ConnState, timeouts connectionTimeouts) {
 	switch {
-	case change == fasthttp.StateNew, change == fasthttp.StateActive && b.served:
-		b.next.Store(int64(times.header))
+	case change == fasthttp.StateNew, change == fasthttp.StateActive && o.served:
+		o.next.Store(int64(timeouts.header))
 	case change == fasthttp.StateIdle:
-		b.served = true
-		b.next.Store(int64(times.idle))
+		o.served = true
+		o.next.Store(int64(timeouts.idle))
 	default:
 	}
 }
 
 // SetReadDeadline implements net.Conn.
 func (c *meteredConnection) SetReadDeadline(deadline time.Time) error {
-	if bound := time.Duration(c.wait.next.Swap(0)); bound > 0 && !deadline.IsZero() {
+	if bound := time.Duration(c.readDeadline.next.Swap(0)); bound > 0 && !deadline.IsZero() {
 		deadline = time.Now().Add(bound)
 	}
 	return c.TCPConn.SetReadDeadline(deadline)
 }
 
-// boundWait bounds the next wait for a caller by the operator's limits.
-func (g *Gateway) boundWait(connection net.Conn, change fasthttp.ConnState) {
+// overrideReadDeadline overrides the deadline of the next wait for a caller with the operator's limits.
+func (g *Gateway) overrideReadDeadline(connection net.Conn, change fasthttp.ConnState) {
 	if metered, ok := connection.(*meteredConnection); ok {
-		metered.wait.enter(change, g.connectionTimes())
+		metered.readDeadline.connStateChanged(change, g.connectionTimeouts())
 	}
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -49,18 +49,18 @@
 	coldStarts  *coldStarts
 	ownLink     *ownLink
 	meter       *link.Meter
-	places      *places
+	places      *placeClient
 	pacer       *pacer
 	callers     *callers
 	demand      *demandCounter
-	// tenantTokens and instanceTokens bound what all gateways together send for a tenant, and to
-	// an instance that named a limit.
+	// tenantTokens and instanceTokens bound the rate at which all gateways together send requests for a
+	// tenant, and to an instance that advertises a rate limit.
 	tenantTokens   *tokens
 	instanceTokens *tokens
 	registry       *telemetry.Metrics
 	metrics        *metrics
-	// slots tells requests that wait of attempts that ended.
-	slots *broadcast.Broadcast
+	// attemptEnded wakes waiting requests when an attempt ends.
+	attemptEnded *broadcast.Broadcast
 
 	budgetLock sync.Mutex
 	budgets    map[string]*retry.Budget
@@ -69,19 +69,19 @@
 
 	// connections counts callers' open connections.
 	connections atomic.Int64
-	// accepted counts the connections that callers ever opened.
+	// accepted counts all connections that callers have opened.
 	accepted atomic.Int64
-	// resting are the callers' connections without a request.
-	resting *restingConnections
+	// idleCallers has the callers' connections without a request.
+	idleCallers *idleConnections
 	// stopping is set once a stop began; each answer then closes its connection.
 	stopping atomic.Bool
-	// stopEnd is when a stop ends, set once callers have noticed the stop.
-	stopEnd atomic.Pointer[time.Duration]
+	// stopDeadline is the clock reading at which a stop ends, set once StopNotice has passed.
+	stopDeadline atomic.Pointer[time.Duration]
 }
 
-// Options are parts that the caller of Run may give.
+// Options are optional parts that the caller of Run may set.
 type Options struct {
-	// Dialects are known by name, besides the product's own.
+	// Dialects are further dialects by name, besides the built-in one.
 	Dialects map[string]Dialect
 	// Reload reads the settings again; nil if they do not change.
 	Reload func() (config.Gateway, error)
@@ -119,7 +119,7 @@
 		splitter:     routing.NewSplitter(),
 		balancer:     balance.New(balanceSettings(settings)),
 		regions:      regionsOf(settings),
-		upstreams:    newUpstreams(settings.BackEnd, dialect, streamTraffic{meter}),
+		upstreams:    newUpstreams(settings.BackEnd, dialect, connectionTraffic{meter}),
 		drains:       newDrains(system, settings.DrainTime),
 		rejections:   newRejections(system),
 		unreachable:  newUnreachable(),
@@ -129,9 +129,9 @@
 		meter:        meter,
 		coldStarts:   newColdStarts(warmUpBounds(settings)),
 		callers:      newCallers(),
-		resting:      newRestingConnections(),
+		idleCallers:  newIdleConnections(),
 		registry:     telemetry.NewMetrics(role),
-		slots:        broadcast.New(),
+		attemptEnded: broadcast.New(),
 		budgets:      make(map[string]*retry.Budget),
 		resendBurst:  float64(settings.RetryBurst),
 	}
@@ -142,10 +142,10 @@
 	gateway.guard = gateway.demand.guard
 	gateway.crashes = crashwatch.NewWatch(system, log, gateway.guard.Crashed)
 	gateway.guard.RegisterMetrics(gateway.registry)
-	gateway.subscription.joined = gateway.guard.SetSecret
+	gateway.subscription.onCluster = gateway.guard.SetSecret
 	gateway.tenantTokens, gateway.instanceTokens = gateway.demand.tenants, gateway.demand.instances
-	gateway.subscription.changed = gateway.tableChanged
-	gateway.places = newPlaces(system, settings, log, newPlaceKeeper(system, gateway.mayKeep), meter)
+	gateway.subscription.onTable = gateway.tableChanged
+	gateway.places = newPlaceClient(system, settings, log, newPlaceKeeper(system, gateway.usableByKeeper), meter)
 	return gateway, nil
 }
 
@@ -153,24 +153,24 @@
 	return warmup.Bounds{Overrun: settings.WarmUp.Overrun, Slack: settings.WarmUp.Slack}
 }
 
-// tableChanged brings what is kept by instance in line with a new table.
+// tableChanged updates the state that is kept per instance after a new table.
 func (g *Gateway) tableChanged(table *routing.Table) {
-	g.boundResends(table.Gateways)
-	g.drains.note(table)
-	g.evacuations.note(table)
-	g.noteEnded(table)
+	g.updateResendBurst(table.Gateways)
+	g.drains.update(table)
+	g.evacuations.update(table)
+	g.checkCrashes(table)
 	g.guard.SetSuspects(table.Suspects)
 	known := table.Knows
-	g.coldStarts.note(g.clock.Now(), table, known)
+	g.coldStarts.update(g.clock.Now(), table, known)
 	g.unreachable.forget(known)
 	g.signals.forget(known)
 	g.balancer.Forget(known)
 	g.upstreams.forget(known)
-	g.places.note(table)
+	g.places.update(table)
 }
 
-// boundResends bounds the resends of each service by the number of gateways.
-func (g *Gateway) boundResends(gateways int) {
+// updateResendBurst adjusts the burst of the resend budgets to the number of gateways.
+func (g *Gateway) updateResendBurst(gateways int) {
 	g.budgetLock.Lock()
 	defer g.budgetLock.Unlock()
 	burst := retry.BurstOf(g.settings.RetrySlack, gateways, g.settings.RetryBurst)
@@ -183,7 +183,7 @@
 	}
 }
 
-// budget returns the budget of resends of a service.
+// budget returns the resend budget of a service.
 func (g *Gateway) budget(service string) *retry.Budget {
 	g.budgetLock.Lock()
 	defer g.budgetLock.Unlock()
@@ -196,7 +196,7 @@
 	return budget
 }
 
-// ready reports whether the gateway takes requests.
+// ready reports whether the gateway accepts requests, and otherwise why not.
 func (g *Gateway) ready() (bool, string) {
 	switch {
 	case g.stopping.Load():
@@ -227,7 +227,7 @@
 	adminServer := &fasthttp.Server{Handler: telemetry.Handler(g.registry, g.ready), Name: role}
 	var group conc.WaitGroup
 	failed := make(chan error, 3)
-	group.Go(func() { failed <- callerServer.Serve(meteredListener{callers, streamTraffic{g.meter}}) })
+	group.Go(func() { failed <- callerServer.Serve(meteredListener{callers, connectionTraffic{g.meter}}) })
 	group.Go(func() { failed <- adminServer.Serve(admin) })
 	metricsServer := g.serveMetrics(&group)
 	group.Go(func() { g.subscription.run(background) })
@@ -247,15 +247,14 @@
 		_ = callers.Close()
 	}
 	stopBackground()
-	endServers(adminServer, metricsServer)
+	shutDownServers(adminServer, metricsServer)
 	group.Wait()
 	return err
 }
 
-// servePeers serves the directory to other gateways, and takes it from them while no
-// controller answers.
+// servePeers serves the directory to other gateways, and follows theirs while no controller answers.
 func (g *Gateway) servePeers(ctx context.Context, group *conc.WaitGroup) {
-	group.Go(func() { g.subscription.runPeers(ctx) })
+	group.Go(func() { g.subscription.followPeers(ctx) })
 	if g.settings.PeerAddress == "" {
 		return
 	}
@@ -266,14 +265,14 @@
 		}
 		if err != nil {
 			telemetry.WithError(g.log, telemetry.EventFailed, err).WithField(telemetry.FieldAddress, g.settings.PeerAddress).
-				Warn("other gateways not served")
+				Warn("cannot serve other gateways at the peer address")
 		}
 	})
 }
 
-// endServers ends servers of health checks and metrics. Their open connections are
-// not waited for longer than a moment.
-func endServers(servers ...*fasthttp.Server) {
+// shutDownServers stops the servers of health checks and metrics. It waits only briefly for their open
+// connections.
+func shutDownServers(servers ...*fasthttp.Server) {
 	bounded, cancel := context.WithTimeout(context.Background(), stopMargin/2)
 	defer cancel()
 	for _, server := range servers {
@@ -281,7 +280,7 @@
 	}
 }
 
-// serveMetrics serves the metrics at their own address, if there is one.
+// serveMetrics serves the metrics at their own address, if one is set.
 func (g *Gateway) serveMetrics(group *conc.WaitGroup) *fasthttp.Server {
 	server := &fasthttp.Server{Handler: telemetry.Handler(g.registry, g.ready), Name: role}
 	if g.settings.MetricsAddress == "" {
--- a/internal/gateway/link.go
+++ b/internal/gateway/link.go
@@ -11,15 +11,14 @@
 	"github.com/thorntiller/thorntiller/internal/link"
 )
 
-// messageOverhead is what a request or an answer takes on a link beside its body, in bytes:
-// some 250 of headers, and 40 for each packet and its acknowledgement.
+// messageOverhead is the size of a request or an answer on a link beyond its body, in bytes: about 250 of
+// headers, and 40 for each packet and its acknowledgement.
 const messageOverhead = 400
 
-// defaultTarget stands for the target latency of routes that name none.
+// defaultTarget is the target latency of routes that have none.
 const defaultTarget = 500 * time.Millisecond
 
-// ownLink admits requests by the room on this machine's network link. It is safe for
-// concurrent use.
+// ownLink admits requests by the capacity of this machine's network link. It is safe for concurrent use.
 type ownLink struct {
 	mutex     sync.Mutex
 	admission *link.Admission
@@ -27,7 +26,7 @@
 
 func newOwnLink(megabits float64) *ownLink { return &ownLink{admission: link.NewAdmission(megabits)} }
 
-// linkRequest is what the admission of a request rests on.
+// linkRequest returns the properties of a request that decide its admission.
 func (g *Gateway) linkRequest(current *request) link.Request {
 	target := current.target()
 	if target <= 0 {
@@ -36,8 +35,8 @@
 	return link.Request{Now: g.clock.Now(), Route: current.route.Name, Target: target, Deadline: current.deadline - current.arrived, Urgency: current.urgency, Bulk: current.route.Kind == directory.Download}
 }
 
-// admit takes a request on, or returns why not.
-func (g *Gateway) admit(current *request) error {
+// admitToLink admits a request to the link, or returns why not.
+func (g *Gateway) admitToLink(current *request) error {
 	g.ownLink.mutex.Lock()
 	defer g.ownLink.mutex.Unlock()
 	admission := g.ownLink.admission
@@ -49,17 +48,17 @@
 	return nil
 }
 
-// linkFull reports whether a request would wait too long before the link.
+// linkFull reports whether a request would wait too long for the link.
 func (g *Gateway) linkFull(current *request) bool {
 	g.ownLink.mutex.Lock()
 	defer g.ownLink.mutex.Unlock()
 	return g.ownLink.admission.Full(g.linkRequest(current))
 }
 
-// leaveLink corrects what was reserved for an admitted request by what it took.
-func (g *Gateway) leaveLink(current *request, served bool) {
+// settleLink replaces the reservation of an admitted request by the bytes that it took.
+func (g *Gateway) settleLink(current *request, served bool) {
 	took := float64(len(current.answer.Body()) + messageOverhead)
-	took += float64(current.sendings() * (len(current.inbound.Body()) + messageOverhead))
+	took += float64(current.sentAttempts() * (len(current.inbound.Body()) + messageOverhead))
 	g.ownLink.mutex.Lock()
 	defer g.ownLink.mutex.Unlock()
 	g.ownLink.admission.Done(g.linkRequest(current), current.reserved, took, served && current.answer.StatusCode() < fasthttp.StatusBadRequest)
--- a/internal/gateway/linkbytes.go
+++ b/internal/gateway/linkbytes.go
@@ -14,36 +14,36 @@
 )
 
 const (
-	// linkBytesInterval is the time between two lines that tell what passed the link.
+	// linkBytesInterval is the time between two log lines about the bytes on the link.
 	linkBytesInterval = 10 * time.Second
-	// busiestInterval is the time of which the busiest one in a line is told.
+	// busiestInterval is the length of the intervals of which a log line reports the busiest.
 	busiestInterval = time.Second
 )
 
-// streamTraffic counts the bytes of connections that carry requests.
-type streamTraffic struct{ meter *link.Meter }
+// connectionTraffic counts the bytes of connections that carry requests.
+type connectionTraffic struct{ meter *link.Meter }
 
 // Opened implements forward.Traffic.
-func (t streamTraffic) Opened() { t.meter.Opened() }
+func (t connectionTraffic) Opened() { t.meter.Opened() }
 
 // Passed implements forward.Traffic.
-func (t streamTraffic) Passed(received, sent int) {
+func (t connectionTraffic) Passed(received, sent int) {
 	t.meter.AddStream(link.In, received)
 	t.meter.AddStream(link.Out, sent)
 }
 
-// streamOf counts all bytes of a connection as one kind.
-func streamOf(meter *link.Meter, kind link.Kind) func(received, sent int) {
+// countAs returns a function that counts all bytes of a connection as one kind.
+func countAs(meter *link.Meter, kind link.Kind) func(received, sent int) {
 	return func(received, sent int) {
 		meter.Add(link.In, kind, received)
 		meter.Add(link.Out, kind, sent)
 	}
 }
 
-// meteredListener counts what callers' connections carry.
+// meteredListener counts the bytes of callers' connections.
 type meteredListener struct {
 	net.Listener
-	traffic streamTraffic
+	traffic connectionTraffic
 }
 
 // Accept implements net.Listener.
@@ -63,14 +63,14 @@
 // meteredConnection is a caller's connection whose bytes are counted.
 type meteredConnection struct {
 	*net.TCPConn
-	traffic streamTraffic
-	// turn waits for the turn of bytes of the answer that is written; nil for none.
+	traffic connectionTraffic
+	// turn waits for the turn to send bytes of the answer; nil for none.
 	turn func(bytes int)
-	// wait bounds the waits for the caller.
-	wait waitBound
+	// readDeadline overrides the deadlines of the waits for the caller.
+	readDeadline readDeadlineOverride
 }
 
-// The connection is still looked at without being read, see callers.
+// The callers type peeks at the connection through syscall.Conn.
 var _ syscall.Conn = (*meteredConnection)(nil)
 
 // Read implements net.Conn.
@@ -94,7 +94,7 @@
 	return count, err
 }
 
-// registerLinkBytes makes the counters of what passed the link.
+// registerLinkBytes registers the counters of bytes on the link.
 func registerLinkBytes(registry *telemetry.Metrics, meter *link.Meter) {
 	for _, direction := range link.Directions() {
 		for _, kind := range link.Kinds() {
@@ -105,50 +105,50 @@
 	}
 }
 
-// linkReport is what passed the link since the last line.
+// linkReport collects the bytes on the link for the log.
 type linkReport struct {
-	meter  *link.Meter
-	told   [2]map[link.Kind]int64
-	second [2]map[link.Kind]int64
-	// busiest is the most that one kind took in a second.
+	meter   *link.Meter
+	logged  [2]map[link.Kind]int64
+	sampled [2]map[link.Kind]int64
+	// busiest is the largest number of bytes of each kind within one second.
 	busiest [2]map[link.Kind]int64
 }
 
 func newLinkReport(meter *link.Meter) *linkReport {
 	report := &linkReport{meter: meter}
 	for _, direction := range link.Directions() {
-		report.told[direction] = make(map[link.Kind]int64)
-		report.second[direction] = make(map[link.Kind]int64)
+		report.logged[direction] = make(map[link.Kind]int64)
+		report.sampled[direction] = make(map[link.Kind]int64)
 		report.busiest[direction] = make(map[link.Kind]int64)
 	}
 	return report
 }
 
-// look takes the counts of a second that has passed.
-func (r *linkReport) look() {
+// sample records the counts of the past second.
+func (r *linkReport) sample() {
 	for _, direction := range link.Directions() {
 		for _, kind := range link.Kinds() {
 			total := r.meter.Total(direction, kind)
-			passed := total - r.second[direction][kind]
-			r.second[direction][kind] = total
+			passed := total - r.sampled[direction][kind]
+			r.sampled[direction][kind] = total
 			r.busiest[direction][kind] = max(r.busiest[direction][kind], passed)
 		}
 	}
 }
 
-// take returns what the next line says: all bytes by direction and kind, and those of the
-// busiest second, for what passed at all.
+// take returns the fields of the next log line: the bytes by direction and kind, in total and in the busiest
+// second, for kinds that had any.
 func (r *linkReport) take() logrus.Fields {
 	fields := logrus.Fields{}
 	for _, direction := range link.Directions() {
 		bytes, busiest := make(map[string]int64), make(map[string]int64)
 		for _, kind := range link.Kinds() {
 			total := r.meter.Total(direction, kind)
-			if passed := total - r.told[direction][kind]; passed > 0 {
+			if passed := total - r.logged[direction][kind]; passed > 0 {
 				bytes[kind.String()] = passed
 				busiest[kind.String()] = r.busiest[direction][kind]
 			}
-			r.told[direction][kind] = total
+			r.logged[direction][kind] = total
 			r.busiest[direction][kind] = 0
 		}
 		fields[direction.String()] = bytes
@@ -157,21 +157,21 @@
 	return fields
 }
 
-// reportLinkBytes writes a line at each interval and when the context ends.
+// reportLinkBytes logs the bytes on the link at each interval and when the context ends.
 func (g *Gateway) reportLinkBytes(ctx context.Context) {
 	report := newLinkReport(g.meter)
 	began := time.Now()
-	tell := func() {
+	logBytes := func() {
 		telemetry.With(g.log, telemetry.EventLinkBytes).WithField(telemetry.FieldDuration, time.Since(began).Milliseconds()).
-			WithFields(report.take()).WithField("places", g.places.takeAsked()).Info("bytes on the own link")
+			WithFields(report.take()).WithField("places", g.places.takeCounts()).Info("bytes on the network link")
 		began = time.Now()
 	}
 	clock.Every(ctx, busiestInterval, func() {
-		report.look()
+		report.sample()
 		if time.Since(began) >= linkBytesInterval {
-			tell()
+			logBytes()
 		}
 	})
-	report.look()
-	tell()
+	report.sample()
+	logBytes()
 }
--- a/internal/gateway/peer_test.go
+++ b/internal/gateway/peer_test.go
@@ -18,20 +18,20 @@
 	"github.com/thorntiller/thorntiller/internal/wire"
 )
 
-// patience bounds each wait for a condition.
-const patience = 30 * time.Second
+// eventuallyTimeout bounds each wait for a condition.
+const eventuallyTimeout = 30 * time.Second
 
 // stubController serves a directory to gateways and answers their pings.
 type stubController struct {
 	address string
-	// silent keeps connections open without a word.
+	// silent keeps connections open without sending anything.
 	silent atomic.Bool
-	// peers are told to each gateway.
+	// peers are sent to each gateway.
 	peers []string
-	// controllers are told before the directory, which then waits for a ping.
+	// controllers are sent before the directory, which then follows the first ping.
 	controllers []string
-	// wholes counts the whole directories that were sent.
-	wholes atomic.Int64
+	// wholeDirectories counts the whole directories that were sent.
+	wholeDirectories atomic.Int64
 	// streams counts the streams that were opened.
 	streams atomic.Int64
 	open    atomic.Int64
@@ -95,7 +95,7 @@
 			return
 		}
 	}
-	c.wholes.Add(1)
+	c.wholeDirectories.Add(1)
 	if connection.Send(ctx, &message.DirectoryUpdate{Cluster: "cluster", Changes: &changes, Peers: c.peers, Pong: ping.Ping}) != nil {
 		return
 	}
@@ -124,14 +124,14 @@
 	return &message.DirectoryUpdate{Cluster: "cluster", Changes: &changes}
 }
 
-// startSubscription runs the subscription of a gateway to controllers at addresses.
+// startSubscription runs the subscription of a gateway to the given controllers.
 func startSubscription(t *testing.T, controllers ...string) *subscription {
 	t.Helper()
-	return startPatientSubscription(t, 200*time.Millisecond, controllers...)
+	return startSubscriptionWithTimeout(t, 200*time.Millisecond, controllers...)
 }
 
-// startPatientSubscription waits for a time for each confirmation.
-func startPatientSubscription(t *testing.T, pongTimeout time.Duration, controllers ...string) *subscription {
+// startSubscriptionWithTimeout is like startSubscription with a pong timeout.
+func startSubscriptionWithTimeout(t *testing.T, pongTimeout time.Duration, controllers ...string) *subscription {
 	t.Helper()
 	settings := config.DefaultGateway()
 	settings.Name, settings.Address = "g", "127.0.0.1:1"
@@ -144,17 +144,16 @@
 
 func eventually(t *testing.T, what string, reached func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !reached(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(eventuallyTimeout); !reached(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%s: not within %s", what, patience)
+			t.Fatalf("%s: not within %s", what, eventuallyTimeout)
 		}
 	}
 }
 
-// TestDirectoryFromAnotherGateway: a gateway that no controller answers takes the
-// directory from one that a controller does answer, and goes back to a controller once
-// one answers. It kept an old directory, and sent requests for keys to instances that
-// had lost them.
+// TestDirectoryFromAnotherGateway guards against a gateway without a controller that keeps an old directory,
+// and sends requests for keys to instances that have lost them. It follows the directory of a gateway whose
+// controller answers, and returns to a controller once one answers.
 func TestDirectoryFromAnotherGateway(t *testing.T) {
 	controller := startStub(t)
 	connected := startSubscription(t, controller.address)
@@ -163,24 +162,24 @@
 	eventually(t, "the first gateway is confirmed by its controller", connected.confirmed)
 
 	unreachable := startStub(t)
-	cut := startSubscription(t, unreachable.address)
-	eventually(t, "the second gateway is confirmed by its controller", cut.confirmed)
+	isolated := startSubscription(t, unreachable.address)
+	eventually(t, "the second gateway is confirmed by its controller", isolated.confirmed)
 	unreachable.silent.Store(true)
-	eventually(t, "the second gateway has lost its controller", cut.lostControllers)
+	eventually(t, "the second gateway has lost its controller", isolated.lostControllers)
 	controller.addService.Store(true)
-	cut.viewLock.Lock()
-	cut.peers = []string{peerListener.Addr().String()}
-	cut.viewLock.Unlock()
-	runInBackground(t, cut.runPeers)
-	eventually(t, "the gateway that is cut off gets the directory", func() bool {
-		_, found := cut.knownService("added")
+	isolated.viewLock.Lock()
+	isolated.peers = []string{peerListener.Addr().String()}
+	isolated.viewLock.Unlock()
+	runInBackground(t, isolated.followPeers)
+	eventually(t, "the gateway without a controller gets the directory", func() bool {
+		_, found := isolated.knownService("added")
 		return found
 	})
-	if cut.confirmed() {
-		t.Error("a directory from another gateway counts as confirmed by a controller, so that it would be passed on")
+	if isolated.confirmed() {
+		t.Error("a directory from another gateway counts as confirmed by a controller and would be passed on")
 	}
 	unreachable.silent.Store(false)
-	eventually(t, "a controller confirms again", cut.confirmed)
+	eventually(t, "a controller confirms again", isolated.confirmed)
 }
 
 func (s *subscription) knownService(name string) (directory.Service, bool) {
@@ -195,13 +194,13 @@
 	return service.Config, true
 }
 
-// TestUnconfirmedDirectoryIsNotPassedOn: a gateway that no controller confirms refuses
-// other gateways, so that two that are cut off do not confirm each other.
+// TestUnconfirmedDirectoryIsNotPassedOn checks that a gateway whose directory is not confirmed by a controller
+// rejects other gateways, so that two gateways without a controller do not confirm each other.
 func TestUnconfirmedDirectoryIsNotPassedOn(t *testing.T) {
-	lonely := startSubscription(t)
+	unconfirmed := startSubscription(t)
 	listener := listen(t)
-	runInBackground(t, func(ctx context.Context) { _ = servePeersOf(ctx, lonely, listener) })
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	runInBackground(t, func(ctx context.Context) { _ = servePeersOf(ctx, unconfirmed, listener) })
+	ctx, cancel := context.WithTimeout(context.Background(), eventuallyTimeout)
 	defer cancel()
 	connection, err := wire.Dial(ctx, listener.Addr().String(), wire.Options{})
 	if err != nil {
@@ -220,7 +219,7 @@
 	}
 }
 
-// TestPeersAreTold: a controller tells its gateways of each other.
+// TestPeersAreTold checks that a controller tells its gateways of each other.
 func TestPeersAreTold(t *testing.T) {
 	controller := startStub(t, "127.0.0.1:7", "127.0.0.1:8")
 	s := startSubscription(t, controller.address)
--- a/internal/gateway/race_test.go
+++ b/internal/gateway/race_test.go
@@ -14,22 +14,22 @@
 	"github.com/thorntiller/thorntiller/internal/wire"
 )
 
-// TestSilentControllerDoesNotDelayTheDirectory: of two controllers one accepts connections
-// and says nothing, as a machine that has just lost power or is cut off. Gateways waited
-// for it to time out before they asked the next one.
+// TestSilentControllerDoesNotDelayTheDirectory guards against a gateway that waits for a controller to time
+// out before it asks the next one. One of two controllers accepts connections and does not answer, as a
+// machine that has just lost power or is cut off.
 func TestSilentControllerDoesNotDelayTheDirectory(t *testing.T) {
 	silent, answering := startStub(t), startStub(t)
 	silent.silent.Store(true)
 	began := time.Now()
-	s := startPatientSubscription(t, patience, silent.address, answering.address)
+	s := startSubscriptionWithTimeout(t, eventuallyTimeout, silent.address, answering.address)
 	eventually(t, "the directory came", func() bool { return s.current() != nil && s.confirmed() })
-	if took := time.Since(began); took > patience/2 {
+	if took := time.Since(began); took > eventuallyTimeout/2 {
 		t.Errorf("the directory came after %s", took)
 	}
 }
 
-// TestOneStreamRemains: of several controllers that answer, one serves the directory, and
-// its stream lasts. The end of the search ended the stream of the one that was found.
+// TestOneStreamRemains guards against a search whose end also ends the stream that it found: of several
+// controllers that answer, one serves the directory, and its stream lasts.
 func TestOneStreamRemains(t *testing.T) {
 	stubs := []*stubController{startStub(t), startStub(t), startStub(t)}
 	s := startSubscription(t, stubs[0].address, stubs[1].address, stubs[2].address)
@@ -52,8 +52,8 @@
 	}
 }
 
-// TestRequestWaitsForTheFirstDirectory: for a moment, and no longer than a share of the
-// caller's time.
+// TestRequestWaitsForTheFirstDirectory checks that a request waits for the first directory, but for no longer
+// than a share of the caller's timeout.
 func TestRequestWaitsForTheFirstDirectory(t *testing.T) {
 	settings := config.DefaultGateway()
 	settings.Name, settings.Seeds = "g", []string{"127.0.0.1:1"}
@@ -68,7 +68,7 @@
 		return context
 	}
 	if table := gateway.awaitTable(call("100")); table != nil {
-		t.Error("a table came from nowhere")
+		t.Error("got a table although there is no directory")
 	}
 	controller := startStub(t)
 	gateway.subscription.controllers = []string{controller.address}
@@ -78,34 +78,34 @@
 	}
 }
 
-// TestControllerIsDialedAgain: one that has not accepted a connection for a while is dialed
-// once more, since the first packet to a machine without power is lost; one that has
-// accepted is not, and one stream wins, whichever connection it uses.
+// TestControllerIsDialedAgain checks that a controller that has not accepted a connection for a while is
+// dialed once more, since the first packet to a machine without power is lost. A controller that has accepted
+// one is not, and one stream wins, whichever connection it uses.
 func TestControllerIsDialedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		contest := newRace()
+		search := newRace()
 		ended := 0
 		cancel := func() { ended++ }
-		first := contest.enter("c", cancel)
-		if first == nil || contest.enter("c", cancel) != nil {
+		first := search.enter("c", cancel)
+		if first == nil || search.enter("c", cancel) != nil {
 			t.Fatal("a controller is asked twice at once")
 		}
 		time.Sleep(redialAfter)
-		second := contest.enter("c", cancel)
+		second := search.enter("c", cancel)
 		if second == nil {
 			t.Fatal("a controller that does not accept connections is not dialed again")
 		}
-		if !contest.connected(second, &wire.Conn{}) || contest.connected(first, &wire.Conn{}) {
+		if !search.connected(second, &wire.Conn{}) || search.connected(first, &wire.Conn{}) {
 			t.Error("want one connection to a controller")
 		}
 		time.Sleep(redialAfter)
-		if contest.enter("c", cancel) != nil {
+		if search.enter("c", cancel) != nil {
 			t.Error("a controller that has accepted a connection is dialed again")
 		}
-		if !contest.claim(second) || contest.claim(first) || ended != 1 {
+		if !search.claim(second) || search.claim(first) || ended != 1 {
 			t.Errorf("%d streams were ended, want that of the first connection", ended)
 		}
-		if contest.enter("d", cancel) != nil {
+		if search.enter("d", cancel) != nil {
 			t.Error("another controller is asked after one has won")
 		}
 	})
--- a/internal/gateway/serve.go
+++ b/internal/gateway/serve.go
@@ -22,7 +22,7 @@
 	if err == nil {
 		g.budget(current.service).Fresh()
 		if current.keyed {
-			g.demand.arrived(current.service, current.key)
+			g.demand.countArrival(current.service, current.key)
 		}
 		err = g.executeWatched(context, current)
 	}
@@ -35,17 +35,17 @@
 	if g.stopping.Load() {
 		context.SetConnectionClose()
 	} else {
-		g.tellIdleTime(context)
+		g.setKeepAlive(context)
 	}
 	if connection, metered := context.Conn().(*meteredConnection); metered && current.route != nil {
-		connection.turn = g.pacer.turnOf(current, len(current.answer.Body()))
+		connection.turn = g.pacer.turnFunc(current, len(current.answer.Body()))
 	}
 	g.meter.Add(link.Out, link.Answers, len(current.answer.Body()))
 	g.observe(current, failure)
 }
 
-// executeWatched executes the request and gives it up when its caller leaves. A request that this
-// gateway may not live to answer is rejected.
+// executeWatched executes the request and aborts it when its caller disconnects. A request that this gateway
+// may not be able to answer before it stops is rejected.
 func (g *Gateway) executeWatched(context *fasthttp.RequestCtx, current *request) error {
 	if err := g.rejectBeforeStop(current); err != nil {
 		return err
@@ -54,9 +54,9 @@
 	return g.executeAdmitted(current)
 }
 
-// executeAdmitted executes the request if the own link has room for it.
+// executeAdmitted executes the request if this machine's link has capacity for it.
 func (g *Gateway) executeAdmitted(current *request) error {
-	if err := g.admit(current); err != nil {
+	if err := g.admitToLink(current); err != nil {
 		return err
 	}
 	err := g.takeQuota(current)
@@ -67,16 +67,16 @@
 		err = g.execute(current)
 	}
 	g.returnQuota(current, err)
-	g.leaveLink(current, err == nil)
+	g.settleLink(current, err == nil)
 	return err
 }
 
-// tableWait is the share of a caller's time for which its request waits for the first
-// directory: a request that is refused after more of it counts as held without success.
-const tableWait = 0.08
+// tableWaitShare is the share of the caller's timeout for which a request waits for the first directory: a
+// request that is refused later than that counts as held without success.
+const tableWaitShare = 0.08
 
-// awaitTable returns the table. A gateway that has just started waits for it for a
-// moment, since all others may have just started as well.
+// awaitTable returns the table. A gateway that has just started waits a short time for it, since all other
+// gateways may have just started as well.
 func (g *Gateway) awaitTable(context *fasthttp.RequestCtx) *routing.Table {
 	changed := g.subscription.updates.Next()
 	if table := g.subscription.current(); table != nil {
@@ -86,7 +86,7 @@
 	if err != nil || milliseconds <= 0 {
 		return nil
 	}
-	timer := time.NewTimer(time.Duration(tableWait * milliseconds * float64(time.Millisecond)))
+	timer := time.NewTimer(time.Duration(tableWaitShare * milliseconds * float64(time.Millisecond)))
 	defer timer.Stop()
 	select {
 	case <-changed:
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -14,23 +14,22 @@
 )
 
 const (
-	// stopMargin is kept of the stop timeout for what comes after the last request.
+	// stopMargin is reserved from the stop timeout for the work after the last request.
 	stopMargin = 300 * time.Millisecond
-	// quietInterval is the time between two looks whether requests are still on their way in.
-	quietInterval = 100 * time.Millisecond
+	// incomingPollInterval is the interval at which incoming requests are checked for during a stop.
+	incomingPollInterval = 100 * time.Millisecond
 )
 
-// stop lets running requests finish. New connections are accepted until the platform has noticed
-// that the gateway is not ready, and each answer closes its connection. Connections that rest are
-// closed once no request can be on its way to them any more, so that no caller takes one up again
-// while there is no time left to answer.
+// stop lets running requests finish. New connections are accepted until the platform has noticed that the
+// gateway is not ready, and each answer closes its connection. Idle connections are closed once no request can
+// be on its way to them, so that no caller reuses one when there is no time left to answer.
 func (g *Gateway) stop(server *fasthttp.Server) error {
 	end := g.clock.Now() + g.settings.StopTimeout - stopMargin
 	g.stopping.Store(true)
 	g.demand.stopping.Store(true)
 	time.Sleep(g.settings.StopNotice)
-	g.stopEnd.Store(&end)
-	g.awaitQuiet(end)
+	g.stopDeadline.Store(&end)
+	g.awaitIncoming(end)
 	bounded, cancel := context.WithTimeout(context.Background(), end-g.clock.Now())
 	defer cancel()
 	if err := server.ShutdownWithContext(bounded); err != nil && !eris.Is(err, net.ErrClosed) {
@@ -39,27 +38,27 @@
 	return nil
 }
 
-// awaitQuiet waits while requests may be on their way in, for half of the time until the end at
-// most: requests that wait behind long answers on the own link, or that have come and were not
-// read yet.
-func (g *Gateway) awaitQuiet(end time.Duration) {
+// awaitIncoming waits while requests may still be arriving, for at most half of the time until the end:
+// requests that are queued behind long answers on this machine's link, or that were received and not read
+// yet.
+func (g *Gateway) awaitIncoming(end time.Duration) {
 	began := g.clock.Now()
 	latest := began + (end-began)/2
 	backlog := link.NewBacklog(g.settings.LinkMegabits, began, g.meter.Passed(link.In))
 	for g.clock.Now() < latest {
-		time.Sleep(quietInterval)
-		if !backlog.Waits(g.clock.Now(), g.meter.Passed(link.In)) && !g.resting.unread() {
+		time.Sleep(incomingPollInterval)
+		if !backlog.Waits(g.clock.Now(), g.meter.Passed(link.In)) && !g.idleCallers.unread() {
 			break
 		}
 	}
 	telemetry.With(g.log, telemetry.EventRestingClosed).WithField(telemetry.FieldDuration, (g.clock.Now()-began).Milliseconds()).
-		WithField("connections", g.connections.Load()).Info("resting connections closed")
+		WithField("connections", g.connections.Load()).Info("idle connections closed")
 }
 
-// rejectBeforeStop rejects a request that may be cut off by the end of a stop: its caller is better
-// off at another gateway. Before callers have noticed the stop all requests are taken.
+// rejectBeforeStop rejects a request whose deadline is after the end of the stop: its caller is better served
+// by another gateway. Until StopNotice has passed all requests are accepted.
 func (g *Gateway) rejectBeforeStop(current *request) error {
-	end := g.stopEnd.Load()
+	end := g.stopDeadline.Load()
 	if end == nil || current.deadline <= *end {
 		return nil
 	}
--- a/internal/gateway/stop_test.go
+++ b/internal/gateway/stop_test.go
@@ -10,7 +10,7 @@
 	"github.com/thorntiller/thorntiller/internal/fault"
 )
 
-// TestRequestsThatOutlastAStopAreRejected guards against requests that a stopping gateway takes and
+// TestRequestsThatOutlastAStopAreRejected guards against requests that a stopping gateway accepts and then
 // cuts off when it ends.
 func TestRequestsThatOutlastAStopAreRejected(t *testing.T) {
 	g := &Gateway{clock: testClock}
@@ -19,7 +19,7 @@
 		t.Errorf("before a stop: %v", err)
 	}
 	end := now + time.Second
-	g.stopEnd.Store(&end)
+	g.stopDeadline.Store(&end)
 	if err := g.rejectBeforeStop(&request{deadline: end}); err != nil {
 		t.Errorf("a request that ends in time: %v", err)
 	}
@@ -28,8 +28,7 @@
 	}
 }
 
-// TestUnreadRequestsAreSeen guards against a gateway that closes a connection whose request has come
-// and was not read yet.
+// TestUnreadRequestsAreSeen guards against a gateway that closes a connection with an unread request.
 func TestUnreadRequestsAreSeen(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -46,21 +45,21 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = accepted.Close() }()
-	resting := newRestingConnections()
-	resting.note(accepted, fasthttp.StateNew)
-	if resting.unread() {
-		t.Error("nothing was sent")
+	idle := newIdleConnections()
+	idle.update(accepted, fasthttp.StateNew)
+	if idle.unread() {
+		t.Error("unread bytes reported before anything was sent")
 	}
 	if _, err := caller.Write([]byte("GET")); err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(10 * time.Second); !resting.unread(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(10 * time.Second); !idle.unread(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("bytes that came are not seen")
+			t.Fatal("received bytes are not reported as unread")
 		}
 	}
-	resting.note(accepted, fasthttp.StateActive)
-	if resting.unread() {
-		t.Error("a connection whose request is served does not rest")
+	idle.update(accepted, fasthttp.StateActive)
+	if idle.unread() {
+		t.Error("a connection with a request in progress counts as idle")
 	}
 }
--- a/internal/gateway/subscription.go
+++ b/internal/gateway/subscription.go
@@ -23,54 +23,54 @@
 	"github.com/thorntiller/thorntiller/internal/wire"
 )
 
-// subscription keeps the directory by the stream of one controller, and goes to
-// another one when that does not prove in time that it is current.
+// subscription keeps the directory up to date from the stream of one controller, and switches to another
+// controller if that one does not prove in time that the directory is current.
 type subscription struct {
 	clock    clock.Clock
 	settings config.Gateway
 	log      *logrus.Entry
-	// reload reads the settings again, for seeds that changed.
+	// reload reads the settings again, in case the seeds changed.
 	reload func() (config.Gateway, error)
-	// changed is told of each new table.
-	changed func(*routing.Table)
-	// joined is told of the cluster whose directory this is.
-	joined func(cluster string)
+	// onTable is called with each new table.
+	onTable func(*routing.Table)
+	// onCluster is called with the name of the cluster to which the directory belongs.
+	onCluster func(cluster string)
 
 	// viewLock guards the fields below it.
 	viewLock    sync.Mutex
 	view        *directory.Directory
 	cluster     message.ClusterID
 	controllers []string
-	// peers are gateways that serve the directory while no controller answers.
+	// peers are the gateways that serve the directory while no controller answers.
 	peers []string
-	// leader is the peer address of the controller that takes counts of requests.
+	// leader is the peer address of the leading controller, to which demand is reported.
 	leader atomic.Pointer[string]
 	table  atomic.Pointer[routing.Table]
-	// provedAt is when the last ping that was answered was sent, and confirmedAt when
-	// the last one that a controller answered was, by the clock.
+	// provedAt is the clock reading when the last answered ping was sent, and confirmedAt when the last ping
+	// answered by a controller was sent.
 	provedAt    atomic.Pointer[time.Duration]
 	confirmedAt atomic.Pointer[time.Duration]
-	// reached is true once a controller has accepted a connection.
-	reached atomic.Bool
-	// peerStreams counts the gateways that take the directory from this one.
+	// controllerReached is true once a controller has accepted a connection.
+	controllerReached atomic.Bool
+	// peerStreams counts the gateways that follow the directory of this one.
 	peerStreams atomic.Int64
-	// updates tells of each new table.
-	updates *broadcast.Broadcast
-	meter   *link.Meter
-	homing  homing
+	// updates is raised for each new table.
+	updates    *broadcast.Broadcast
+	meter      *link.Meter
+	homeSwitch homeSwitch
 }
 
 func newSubscription(system clock.Clock, settings config.Gateway, log *logrus.Entry, reload func() (config.Gateway, error), meter *link.Meter) *subscription {
 	return &subscription{
 		clock: system, settings: settings, log: log, reload: reload, view: directory.New(), updates: broadcast.New(), meter: meter,
-		changed: func(*routing.Table) {}, joined: func(string) {},
+		onTable: func(*routing.Table) {}, onCluster: func(string) {},
 	}
 }
 
-// current returns the table, nil before the first items came.
+// current returns the table; nil until the directory has been received.
 func (s *subscription) current() *routing.Table { return s.table.Load() }
 
-// age returns how long ago the directory was proved current.
+// age returns how long ago the directory was proved current; -1 if it never was.
 func (s *subscription) age() time.Duration {
 	proved := s.provedAt.Load()
 	if proved == nil {
@@ -79,8 +79,8 @@
 	return s.clock.Now() - *proved
 }
 
-// confirmedAge returns how long ago a controller proved that the directory is current; the
-// longest time if none did.
+// confirmedAge returns how long ago a controller proved that the directory is current; the maximum duration if
+// none did.
 func (s *subscription) confirmedAge() time.Duration {
 	confirmed := s.confirmedAt.Load()
 	if confirmed == nil {
@@ -89,7 +89,7 @@
 	return s.clock.Now() - *confirmed
 }
 
-// reconnectPause is the wait after all controllers were asked without success.
+// reconnectPause is the delay after all controllers were asked without success.
 const reconnectPause = 20 * time.Millisecond
 
 func (s *subscription) run(ctx context.Context) {
@@ -100,7 +100,7 @@
 	}
 }
 
-// reloadSeeds takes the seeds of the settings as they are now.
+// reloadSeeds applies changes of the seeds in the settings.
 func (s *subscription) reloadSeeds() {
 	if s.reload == nil {
 		return
@@ -113,54 +113,54 @@
 	s.settings.Seeds = fresh.Seeds
 }
 
-// errAskedTwice ends a connection to a controller that accepted an earlier one meanwhile.
+// errAskedTwice ends a connection to a controller that meanwhile accepted an earlier one.
 var errAskedTwice = eris.New("the controller has accepted another connection of this gateway")
 
 var errNoProof = eris.New("no proof of a current directory came in time")
 
-// source is where a stream of the directory comes from.
+// source is the origin of a directory stream.
 type source struct {
 	address string
 	// peer is true for another gateway, false for a controller.
 	peer bool
-	// contest is the search that the stream takes part in as a candidate; nil for none.
-	contest   *race
+	// search is the search in which the stream takes part as a candidate; nil for none.
+	search    *race
 	candidate *candidate
 }
 
-// request returns the first message on a stream.
-func (s *subscription) request() message.DirectoryRequest {
+// firstRequest returns the first message of a stream.
+func (s *subscription) firstRequest() message.DirectoryRequest {
 	s.viewLock.Lock()
 	defer s.viewLock.Unlock()
 	return message.DirectoryRequest{Cluster: s.cluster, Revision: s.view.Revision(), Address: s.settings.PeerAddress}
 }
 
-// follow takes the stream of one controller or gateway until it breaks.
+// follow follows the stream of one controller or gateway until it breaks.
 func (s *subscription) follow(ctx context.Context, from source) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	connection, err := wire.Dial(ctx, from.address, wire.Options{
 		DialTimeout: s.settings.BackEnd.ConnectTimeout, IdleTimeout: s.settings.PongTimeout, WriteTimeout: s.settings.PongTimeout,
-		Passed: streamOf(s.meter, link.Directory),
+		Passed: countAs(s.meter, link.Directory),
 	})
 	if err != nil {
 		return err
 	}
 	defer connection.Close()
 	defer context.AfterFunc(ctx, connection.Close)()
-	s.reached.Store(true)
-	if from.contest != nil && !from.contest.connected(from.candidate, connection) {
+	s.controllerReached.Store(true)
+	if from.search != nil && !from.search.connected(from.candidate, connection) {
 		return errAskedTwice
 	}
 	if err := connection.Send(ctx, &message.Hello{Purpose: message.PurposeDirectory, From: s.settings.Name}); err != nil {
 		return err
 	}
-	first := s.request()
+	first := s.firstRequest()
 	if err := connection.Send(ctx, &first); err != nil {
 		return err
 	}
 	if first.Revision == 0 && !from.peer {
-		if err := s.hearOfControllers(connection, from); err != nil {
+		if err := s.receiveControllers(connection, from); err != nil {
 			return err
 		}
 	}
@@ -173,7 +173,7 @@
 	return s.receive(connection, pings, from)
 }
 
-// pingLog remembers when the newest pings were sent.
+// pingLog records when the latest pings were sent.
 type pingLog struct {
 	clock  clock.Clock
 	number atomic.Uint64
@@ -216,22 +216,22 @@
 		if from.peer && s.confirmed() {
 			return errControllerAnswers
 		}
-		if err := s.take(update); err != nil {
+		if err := s.apply(update); err != nil {
 			return err
 		}
 		if update.Pong == 0 {
-			if s.clock.Now()-proved > s.patience(update) {
+			if s.clock.Now()-proved > s.proofTimeout(update) {
 				return errNoProof
 			}
 			continue
 		}
-		if from.contest != nil && !from.contest.claim(from.candidate) {
+		if from.search != nil && !from.search.claim(from.candidate) {
 			return errOtherController
 		}
 		proved = s.clock.Now()
 		s.confirm(pings.sentAt[update.Pong%pingsKept].Load(), from)
-		if s.goesHome(from) {
-			return errGoesHome
+		if s.shouldSwitchHome(from) {
+			return errSwitchToHome
 		}
 		if !logged {
 			logged = true
@@ -241,7 +241,7 @@
 	}
 }
 
-// confirm notes that the directory was current when a ping was sent.
+// confirm records that the directory was current when a ping was sent.
 func (s *subscription) confirm(sentAt *time.Duration, from source) {
 	s.provedAt.Store(sentAt)
 	if !from.peer {
@@ -255,20 +255,20 @@
 	return s.view.Revision()
 }
 
-// catchUp is by how much longer a proof is waited for while changes come: they take
-// their time on a narrow link, and the proof comes behind them.
-const catchUp = 4
+// changesTimeoutFactor is the factor by which the wait for a proof is extended while changes arrive: they
+// take time on a narrow link, and the proof is queued behind them.
+const changesTimeoutFactor = 4
 
-// patience is how long a proof is waited for once an update came.
-func (s *subscription) patience(update message.DirectoryUpdate) time.Duration {
+// proofTimeout returns how long to wait for a proof after an update.
+func (s *subscription) proofTimeout(update message.DirectoryUpdate) time.Duration {
 	if update.Changes != nil {
-		return catchUp * s.settings.PongTimeout
+		return changesTimeoutFactor * s.settings.PongTimeout
 	}
 	return s.settings.PongTimeout
 }
 
-// take puts an update in force. After an error the whole directory is asked for.
-func (s *subscription) take(update message.DirectoryUpdate) error {
+// apply applies an update. After an error the whole directory is requested.
+func (s *subscription) apply(update message.DirectoryUpdate) error {
 	s.viewLock.Lock()
 	defer s.viewLock.Unlock()
 	if update.Peers != nil {
@@ -286,7 +286,7 @@
 	earlier := s.table.Load()
 	if update.Cluster != "" && update.Cluster != s.cluster {
 		s.cluster = update.Cluster
-		s.joined(string(update.Cluster))
+		s.onCluster(string(update.Cluster))
 		s.view = directory.New()
 		earlier = nil
 	}
@@ -299,7 +299,7 @@
 	}
 	table := routing.Build(s.view, earlier)
 	s.table.Store(table)
-	s.changed(table)
+	s.onTable(table)
 	s.updates.Raise()
 	return nil
 }
--- a/internal/gateway/tokens.go
+++ b/internal/gateway/tokens.go
@@ -10,45 +10,46 @@
 	"github.com/thorntiller/thorntiller/internal/quota"
 )
 
-// tokens are those that this gateway has of tenants with a limit, or of instances that named one.
-// It is safe for concurrent use.
+// tokens holds this gateway's tokens of tenants that have a rate limit, or of instances that advertise one. It
+// is safe for concurrent use.
 type tokens struct {
 	clock    clock.Clock
 	mutex    sync.Mutex
 	accounts *quota.Accounts
-	// changed tells requests that wait for a token that there may be one.
+	// changed wakes the requests that wait for a token.
 	changed *broadcast.Broadcast
-	// urgent gets an entry when the leader is to be asked at once.
-	urgent chan struct{}
+	// askNow gets an entry when the leader is to be asked at once.
+	askNow chan struct{}
 }
 
-func newTokens(system clock.Clock, policy quota.Policy, urgent chan struct{}) *tokens {
+func newTokens(system clock.Clock, policy quota.Policy, askNow chan struct{}) *tokens {
 	return &tokens{
-		clock: system, accounts: quota.NewAccounts(policy, rand.Float64), changed: broadcast.New(), urgent: urgent,
+		clock: system, accounts: quota.NewAccounts(policy, rand.Float64), changed: broadcast.New(), askNow: askNow,
 	}
 }
 
-// refund gives back a token that was not used.
+// refund returns a token that was not used.
 func (t *tokens) refund(subject string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.accounts.Refund(t.clock.Now(), subject)
 }
 
-// take waits for a token for a short time. Left reports whether the caller has left.
-func (t *tokens) take(subject quota.Subject, left func() bool) (quota.Verdict, time.Duration) {
+// take takes a token, and waits up to quota.AnswerTime for one. Disconnected reports whether the caller has
+// disconnected.
+func (t *tokens) take(subject quota.Subject, disconnected func() bool) (quota.Verdict, time.Duration) {
 	began := t.clock.Now()
 	changed := t.changed.Next()
-	verdict, retryIn := t.arrive(subject, false)
+	verdict, retryIn := t.tryTake(subject, false)
 	if verdict != quota.Wait {
 		return verdict, retryIn
 	}
-	t.wait(subject, 1)
-	defer t.wait(subject, -1)
-	t.askAtOnce()
+	t.addWaiting(subject, 1)
+	defer t.addWaiting(subject, -1)
+	t.triggerAsk()
 	ticker := time.NewTicker(quota.AskPause)
 	defer ticker.Stop()
-	for verdict == quota.Wait && !left() {
+	for verdict == quota.Wait && !disconnected() {
 		if t.clock.Now()-began >= quota.AnswerTime {
 			return t.giveUp(subject, began)
 		}
@@ -58,7 +59,7 @@
 			t.askIfDue()
 		}
 		changed = t.changed.Next()
-		verdict, retryIn = t.arrive(subject, true)
+		verdict, retryIn = t.tryTake(subject, true)
 	}
 	return verdict, retryIn
 }
@@ -69,40 +70,40 @@
 	return t.accounts.GiveUp(t.clock.Now(), subject, since)
 }
 
-func (t *tokens) arrive(subject quota.Subject, waited bool) (quota.Verdict, time.Duration) {
+func (t *tokens) tryTake(subject quota.Subject, waited bool) (quota.Verdict, time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.accounts.Arrive(t.clock.Now(), subject, waited)
 }
 
-func (t *tokens) wait(subject quota.Subject, change int) {
+func (t *tokens) addWaiting(subject quota.Subject, change int) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.accounts.AddWaiting(t.clock.Now(), subject, change)
 }
 
-func (t *tokens) askAtOnce() {
+func (t *tokens) triggerAsk() {
 	select {
-	case t.urgent <- struct{}{}:
+	case t.askNow <- struct{}{}:
 	default:
 	}
 }
 
-// asks returns what the leader is to be told now.
+// asks returns the asks to send to the leader now.
 func (t *tokens) asks() []quota.Ask {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.accounts.Asks(t.clock.Now())
 }
 
-// unanswered returns for how long the leader has left an ask without an answer.
+// unanswered returns how long the oldest unanswered ask has been waiting for the leader.
 func (t *tokens) unanswered() time.Duration {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.accounts.Unanswered(t.clock.Now())
 }
 
-func (t *tokens) answered(grants []quota.Grant) {
+func (t *tokens) applyGrants(grants []quota.Grant) {
 	t.mutex.Lock()
 	t.accounts.Answered(t.clock.Now(), grants)
 	t.mutex.Unlock()
@@ -110,17 +111,17 @@
 	t.askIfDue()
 }
 
-// askIfDue asks the leader at once if requests wait for tokens that were not asked for of late.
+// askIfDue triggers a report to the leader if requests wait for tokens that were not asked for recently.
 func (t *tokens) askIfDue() {
 	t.mutex.Lock()
 	due := t.accounts.AskDue(t.clock.Now())
 	t.mutex.Unlock()
 	if due {
-		t.askAtOnce()
+		t.triggerAsk()
 	}
 }
 
-// disconnected notes that the connection to the leader ended.
+// disconnected records that the connection to the leader ended.
 func (t *tokens) disconnected() {
 	t.mutex.Lock()
 	t.accounts.Disconnected(t.clock.Now())
