--- a/internal/controller/api.go
+++ b/internal/controller/api.go
@@ -189,7 +189,7 @@
 }
 
 // answeredByState reports whether the state alone determines the answer to an intent: the intent is known, or
-// is too old to tell whether it was known.
+// is too old to determine whether it was known.
 func (a *api) answeredByState(id state.PlanID) bool {
 	var answered bool
 	a.replica.view(func(view *state.State) {
--- a/internal/controller/controller_test.go
+++ b/internal/controller/controller_test.go
@@ -34,8 +34,8 @@
 
 	first := g.leader()
 	g.stop(first)
-	if handed, _ := g.processes[first].logged(telemetry.EventLeaderTransferred); handed != 1 {
-		t.Errorf("the stopping leader transferred leadership %d times, want 1", handed)
+	if transfers, _ := g.processes[first].logged(telemetry.EventLeaderTransferred); transfers != 1 {
+		t.Errorf("the stopping leader transferred leadership %d times, want 1", transfers)
 	}
 	create(50) // far more than the log that the others keep
 	g.start(first)
--- a/internal/controller/elsewhere.go
+++ b/internal/controller/elsewhere.go
@@ -78,7 +78,7 @@
 // redirectTarget returns the member to which a replica that knows no leader redirects callers. While its loop
 // is stalled, that is any other voter, since these may have elected a leader; while it is cut off with a
 // minority, one of the voters it does not hear from. Without this redirect, callers would return to this
-// replica again and again.
+// replica repeatedly.
 func (r *replica) redirectTarget() (consensus.Member, bool) {
 	voters := r.voters()
 	candidates := slices.DeleteFunc(slices.Clone(voters), func(voter consensus.Member) bool { return voter.ID == r.self.ID })
--- a/internal/controller/elsewhere_test.go
+++ b/internal/controller/elsewhere_test.go
@@ -10,14 +10,14 @@
 )
 
 // TestReplicaWithoutALeaderSendsCallersToThoseItDoesNotHear guards against servers that lose their keys during
-// a partition of the controllers: servers that reached only the minority were told that no leader is known and
+// a partition of the controllers: servers that reached only the minority got the answer that no leader is known and
 // asked the same controllers again, 166 times in 3 s.
 func TestReplicaWithoutALeaderSendsCallersToThoseItDoesNotHear(t *testing.T) {
 	const within = 800 * time.Millisecond
 	voters := []consensus.Member{{ID: 1}, {ID: 2}, {ID: 3}, {ID: 4}, {ID: 5}}
 	for _, c := range []struct {
 		name string
-		// senders are the replicas whose messages arrive until the end; leader tells whether a leader is known
+		// senders are the replicas whose messages arrive until the end; leader is true if a leader is known
 		// until then.
 		senders []consensus.ReplicaID
 		leader  bool
--- a/internal/controller/news.go
+++ b/internal/controller/news.go
@@ -48,7 +48,7 @@
 	}
 	if command.Layout != nil {
 		// Keys that an instance must release still name it as owner and are marked as revoked. Free
-		// keys were released, or the lease of their owner has ended: nobody needs to be notified.
+		// keys were released, or the lease of their owner has expired: no instance needs to be notified.
 		for _, holding := range command.Layout.Changed {
 			n.wake(holding.Owner)
 		}
--- a/internal/coordinator/adoption.go
+++ b/internal/coordinator/adoption.go
@@ -19,7 +19,7 @@
 //     its claims in answer to a message of this leader. From then on it serves
 //     only under a lease, which can be waited out.
 //   - To observed: only the process that held the lease of the last session is
-//     told to claim the ranges that it owned, and only while it could still be
+//     instructed to claim the ranges that it owned, and only while it could still be
 //     granted a lease.
 
 // messageObservedServer sends a message to a server of an observed service, if
@@ -40,7 +40,7 @@
 	c.send(now, tracker, server, request, actions)
 }
 
-// mayHandBack reports whether a process may be told to claim the ranges that its
+// mayHandBack reports whether a process may be instructed to claim the ranges that its
 // server owns: it held the lease of the last session, the server's assignments
 // have not changed since the service became observed, and a quorum confirmed this
 // leader after the reading of the process's clock arrived.
@@ -67,7 +67,7 @@
 	}
 }
 
-// fillClaimEnd makes the request one that tells the process to give up its
+// fillClaimEnd makes the request one that instructs the process to give up its
 // claims. It has no session, so it grants no lease.
 func fillClaimEnd(request *backendapi.LeaseRequest, tracker *serverTracker) {
 	request.Incarnation = tracker.incarnation
@@ -75,7 +75,7 @@
 
 // claimsEnded reports whether the process gave up its claims in answer to a
 // message of this leader. From then on it refuses messages of earlier leaders,
-// which could tell it to claim ranges again.
+// which could instruct it to claim ranges again.
 func (c *Coordinator) claimsEnded(tracker *serverTracker) bool {
 	return !tracker.observed && tracker.fenceTerm == c.term
 }
--- a/internal/coordinator/closures.go
+++ b/internal/coordinator/closures.go
@@ -8,7 +8,7 @@
 
 const (
 	// manyClosures is the number of sessions ending at the same time from which
-	// the loss is taken for that of more than a few machines. The leases of lost
+	// the loss is treated as that of more than a few machines. The leases of lost
 	// servers end spread over a renewal interval.
 	manyClosures = 16
 	// closureInterval is then the minimum time between two ticks that close
--- a/internal/coordinator/contact.go
+++ b/internal/coordinator/contact.go
@@ -94,7 +94,7 @@
 // isSilent reports whether messages to the server failed in this term of
 // leadership and none was answered. Its open session, if any, was opened by an
 // earlier leader, because this one opens none without an answer. Its lease is
-// counted from the last quorum round that an earlier leader can have begun. For a
+// counted from the last quorum round that an earlier leader can have started. For a
 // server that answers, the lease is counted from the election, so that a leader
 // that takes long to reach many servers closes no session of a live one.
 func (t *serverTracker) isSilent() bool {
--- a/internal/coordinator/coordinator.go
+++ b/internal/coordinator/coordinator.go
@@ -186,7 +186,7 @@
 }
 
 // detectPause gives servers time to answer after this process was paused. Their
-// leases may have expired, but no other process has been told so, and a renewal
+// leases may have expired, but no other process has been notified of it, and a renewal
 // avoids the moves that closing their sessions would cause.
 func (c *Coordinator) detectPause(now time.Duration) {
 	if now-c.lastTickAt > c.config.RenewInterval {
@@ -208,7 +208,7 @@
 	return token
 }
 
-// ProposalDone reports that a proposal was applied, refused or dropped.
+// ProposalDone reports that a proposal was applied, rejected or dropped.
 func (c *Coordinator) ProposalDone(token uint64) {
 	if c.pendingAssign == token {
 		c.pendingAssign = 0
--- a/internal/coordinator/shards.go
+++ b/internal/coordinator/shards.go
@@ -9,7 +9,7 @@
 )
 
 // tickShards proposes the next step for shards that need one: revoked shards are
-// released, unowned shards assigned and moves begun.
+// released, unowned shards assigned and moves started.
 func (c *Coordinator) tickShards(now time.Duration, view *state.State, actions *Actions) {
 	c.releaseShards(view, actions)
 	planner := c.newPlanner(now, view)
--- a/internal/coordinator/types.go
+++ b/internal/coordinator/types.go
@@ -40,7 +40,7 @@
 }
 
 // Proposal is a command for the replicated log. The driver calls ProposalDone once
-// it was applied, refused or dropped.
+// it was applied, rejected or dropped.
 type Proposal struct {
 	Token   uint64
 	Command state.Command
--- a/internal/crashwatch/guard.go
+++ b/internal/crashwatch/guard.go
@@ -28,8 +28,8 @@
 	urgent chan struct{}
 }
 
-// NewGuard returns the guard of a process. It puts a request in quarantine by itself after crashThreshold
-// crashes that no leader has acknowledged. Urgent receives a value when a report should be sent to the
+// NewGuard returns the guard of a process. It puts a request in quarantine without the leader after
+// crashThreshold crashes that no leader has acknowledged. Urgent receives a value when a report should be sent to the
 // leader at once.
 func NewGuard(system clock.Clock, process string, crashThreshold int, urgent chan struct{}) *Guard {
 	guard := &Guard{clock: system, guard: quarantine.NewGuard(process, crashThreshold), urgent: urgent}
--- a/internal/crashwatch/guard_test.go
+++ b/internal/crashwatch/guard_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// TestTrialThatReachedNothingIsGivenBack: a trial can be used again if the request surely did not run, but
+// TestTrialThatReachedNothingIsGivenBack: a trial can be used again if the request certainly did not run, but
 // not if it ran or may have run.
 func TestTrialThatReachedNothingIsGivenBack(t *testing.T) {
 	fingerprint, path := identityHashes(t)
--- a/internal/dispatch/types.go
+++ b/internal/dispatch/types.go
@@ -35,7 +35,7 @@
 // History records a request's finished attempts and its wait for an owner.
 type History struct {
 	Attempts []Attempt
-	// Waiting is true once the request has begun to wait for an owner, which it did at
+	// Waiting is true once the request has started to wait for an owner, which it did at
 	// WaitingSince.
 	Waiting      bool
 	WaitingSince time.Duration
--- a/internal/execution/execution.go
+++ b/internal/execution/execution.go
@@ -32,7 +32,7 @@
 	service  *state.Service
 	history  dispatch.History
 	decision dispatch.Decision
-	// queue is the server queue in which the current attempt holds a slot.
+	// queue is the server queue in which the current attempt holds a place.
 	queue        *admission.Queue
 	attemptStart time.Duration
 	// provedResends counts the resends that were allowed because the owner answered
@@ -138,8 +138,8 @@
 	return e.giveUp(fault.New(fault.RouterStopping, "the router stopped before the request could be sent"))
 }
 
-// Acquired handles the end of the wait for a slot in the server's queue. If err is nil,
-// the request holds a slot, which the execution releases.
+// Acquired handles the end of the wait for a place in the server's queue. If err is nil,
+// the request holds a place, which the execution releases.
 func (e *Execution) Acquired(reading Reading, queue *admission.Queue, err error) Action {
 	if eris.Is(err, ErrSessionEnded) {
 		return Action{Kind: Plan}
--- a/internal/execution/outcome.go
+++ b/internal/execution/outcome.go
@@ -42,7 +42,7 @@
 	return e.resendOrGiveUp(now, failure)
 }
 
-// releaseQueue releases the slot in the server's queue. Only attempts that were answered
+// releaseQueue releases the place in the server's queue. Only attempts that were answered
 // or timed out count as measurements of the service time.
 func (e *Execution) releaseQueue(failure *fault.Error, elapsed time.Duration) {
 	if failure == nil || failure.Kind == fault.DeadlineExceeded {
--- a/internal/execution/types.go
+++ b/internal/execution/types.go
@@ -34,7 +34,7 @@
 	// Wait for a change of the routing table, but no longer than Until; then
 	// call Plan, or Stopped if the router shuts down.
 	Wait
-	// Acquire a slot in the queue of Decision.Server before the request's
+	// Acquire a place in the queue of Decision.Server before the request's
 	// deadline; then call Acquired.
 	Acquire
 	// Attempt: send the request to Decision.Server within Timeout, unless MaySend forbids
--- a/internal/heartbeat/batch.go
+++ b/internal/heartbeat/batch.go
@@ -94,11 +94,10 @@
 	}
 	service, configured := b.view.Service(beat.Service)
 	if !configured || !service.Keyed {
-		// If a draft of this batch assigns keys to the instance, its pending answer carries them.
 		return nil
 	}
 	if b.core.keepsLayout(b.now, beat, b.view) {
-		// What a draft of this batch gives to the instance its waiting answer will tell.
+		// If a draft of this batch assigns keys to the instance, its pending answer carries them.
 		return nil
 	}
 	b.draft(beat.Service).applyHeartbeat(beat, state)
@@ -178,7 +177,7 @@
 	d.mergeRanges(beat.Instance)
 }
 
-// Leave handles the announcement of a server that it leaves for good. Its keys are reassigned once
+// Leave handles the announcement of a server that it leaves permanently. Its keys are reassigned once
 // its lease has expired. If the announcement does not include the start time of the server, it
 // applies to the newest incarnation and to those that wait for their second heartbeat.
 func (b *Batch) Leave(leaving directory.Incarnation) {
--- a/internal/heartbeat/core_test.go
+++ b/internal/heartbeat/core_test.go
@@ -246,7 +246,7 @@
 }
 
 // TestOldHeartbeatAfterAChangeOfLeader checks that a delayed heartbeat reverts nothing at a leader that has
-// not heard of the instance yet: the instance stays draining, and its revoked keys are not freed.
+// not received a heartbeat of the instance yet: the instance stays draining, and its revoked keys are not freed.
 func TestOldHeartbeatAfterAChangeOfLeader(t *testing.T) {
 	s := newScriptWithLayout(t)
 	drainingBeat := func(beat *Beat) { beat.Draining = true; holding(0, half-1, 1)(beat) }
--- a/internal/heartbeat/gateways.go
+++ b/internal/heartbeat/gateways.go
@@ -20,8 +20,8 @@
 
 // GatewayOffer describes what a gateway offers to other gateways.
 type GatewayOffer struct {
-	// Address is the IP:port at which other gateways request slots of instances; empty if the gateway
-	// does not allocate any.
+	// Address is the IP:port at which other gateways request places at instances; empty if the
+	// gateway does not grant any.
 	Address string `msgpack:"a"`
 	Zone    string `msgpack:"z"`
 	// Megabits is the bandwidth of its link in each direction, in Mbit/s; zero if not limited.
--- a/internal/heartbeat/isolate.go
+++ b/internal/heartbeat/isolate.go
@@ -25,7 +25,7 @@
 	reservationTime = 400 * time.Millisecond
 )
 
-// isolate starts to move the hottest key that by itself overloads the source to the fastest instance.
+// isolate starts to move the hottest key that alone overloads the source to the fastest instance.
 // It reports whether it did.
 func (d *draft) isolate(source *candidate) bool {
 	for _, hot := range d.demand().hotKeys() {
--- a/internal/heartbeat/isolate_test.go
+++ b/internal/heartbeat/isolate_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// TestHotKeyMovesToTheFastestInstance checks that a key that by itself overloads its holder moves to the
+// TestHotKeyMovesToTheFastestInstance checks that a key that alone overloads its holder moves to the
 // fastest instance and stays there, while other keys move away from that instance. Keys whose rate exceeded
 // the spare capacity of each other instance used to stay with their holder.
 func TestHotKeyMovesToTheFastestInstance(t *testing.T) {
--- a/internal/heartbeat/keepers.go
+++ b/internal/heartbeat/keepers.go
@@ -10,7 +10,7 @@
 	"github.com/thorntiller/thorntiller/internal/directory"
 )
 
-// Keepers are the gateways that allocate slots of instances, see package room. The leader selects a few
+// Keepers are the gateways that grant places at instances, see package room. The leader selects a few
 // per zone and keeps them as long as they report, since a new keeper starts without state.
 
 const (
--- a/internal/heartbeat/keepers_test.go
+++ b/internal/heartbeat/keepers_test.go
@@ -11,7 +11,7 @@
 
 // TestKeepersStayWhileTheyAreHeard checks that each zone has as many keepers as its instances need, those
 // with the highest bandwidth first; that keepers stay when other gateways join; that a keeper that is silent
-// or stops is replaced; and that a new leader selects none before it could hear the existing ones.
+// or stops is replaced; and that a new leader selects none before the existing ones could report to it.
 func TestKeepersStayWhileTheyAreHeard(t *testing.T) {
 	s := newScript(t)
 	var instances []directory.Instance
@@ -39,7 +39,7 @@
 	s.core.Lead(s.now)
 	s.apply(s.core.Tick(s.now+10*time.Millisecond, s.view)...)
 	if published := s.view.Keepers(); len(published) > 0 {
-		t.Errorf("a new leader selects keepers %v before it heard any gateway", published)
+		t.Errorf("a new leader selects keepers %v before any gateway reported to it", published)
 	}
 	reportFor(3)
 	first := s.view.Keepers()
--- a/internal/heartbeat/model_pipeline_test.go
+++ b/internal/heartbeat/model_pipeline_test.go
@@ -12,8 +12,8 @@
 // answerTimeout is how long after a heartbeat a controller still answers it.
 const answerTimeout = 850 * time.Millisecond
 
-// modelProposalTimeout is the time after which a controller with abandonsProposals goes on to its next
-// proposal.
+// modelProposalTimeout is the time after which a controller with abandonsProposals continues with its
+// next proposal.
 const modelProposalTimeout = 500 * time.Millisecond
 
 // modelDecision is a heartbeat that waits for its batch, or a tick if answer is nil.
--- a/internal/heartbeat/stranger.go
+++ b/internal/heartbeat/stranger.go
@@ -10,7 +10,7 @@
 
 // A process that listens at an address proves that the previous one there has ended. But a heartbeat may
 // arrive long after it was sent by a process that has crashed since, for an instance that is not known.
-// If that instance were taken for the newer one, the live instance would count as ended, and its keys
+// If that instance were treated as the newer one, the live instance would count as ended, and its keys
 // would be reassigned while it holds them. So an unknown instance takes over an address only if it keeps
 // sending heartbeats while the known one is silent.
 
--- a/internal/heartbeat/throttle.go
+++ b/internal/heartbeat/throttle.go
@@ -10,8 +10,8 @@
 
 // A key has one holder, and a hot key may have more requests than any holder can serve. Gateways do not
 // see each other's requests, so together they fill the holder's queue: requests in it are late, for other
-// keys as well, and requests that find it full block. The leader knows demand and service times, and tells
-// gateways which share of the requests for a hot key to forward.
+// keys as well, and requests that find it full block. The leader knows demand and service times, and
+// publishes to gateways which share of the requests for a hot key to forward.
 
 const (
 	// throttleInterval is the time between two checks of hot keys. Gateways report as often.
--- a/internal/quarantine/guard.go
+++ b/internal/quarantine/guard.go
@@ -33,7 +33,7 @@
 	// localSuspectTime is how long a request stays suspected, or in quarantine, by this process alone after it
 	// was last seen.
 	localSuspectTime = time.Minute
-	// maxLocalSuspects limits the requests that this process suspects by itself.
+	// maxLocalSuspects limits the requests that this process suspects without the leader.
 	maxLocalSuspects = 256
 )
 
@@ -62,7 +62,7 @@
 	rejections   map[directory.Fingerprint]*rejection
 }
 
-// localSuspect is a request that this process suspects by itself.
+// localSuspect is a request that this process suspects without the leader.
 type localSuspect struct {
 	path      directory.PathHash
 	instances map[directory.InstanceID]bool
--- a/internal/quota/accounts.go
+++ b/internal/quota/accounts.go
@@ -28,7 +28,7 @@
 	acceptableWait = 100 * time.Millisecond
 	// maxShort bounds how long the leader's report that tokens ran out is trusted.
 	maxShort = 300 * time.Millisecond
-	// minRetryAfter and maxRetryAfter bound the time after which a rejected caller is told to
+	// minRetryAfter and maxRetryAfter bound the time after which a rejected caller is advised to
 	// retry. The time grows with the share of its tenant's requests that is rejected.
 	minRetryAfter = 200 * time.Millisecond
 	maxRetryAfter = 2 * time.Second
@@ -90,7 +90,7 @@
 	// fallbackTokens are the requests that may be sent without the leader, accrued up to accruedAt.
 	fallbackTokens float64
 	accruedAt      time.Duration
-	// unreported are the requests sent without the leader that it has not been told of yet.
+	// unreported are the requests sent without the leader that were not reported to it yet.
 	unreported unreportedSends
 	// fallbackRate is fallbackShare of the rate at which tokens were taken when the leader was
 	// lost.
@@ -182,7 +182,7 @@
 	return a.withoutLeader(now, acct, subject)
 }
 
-// retryAfter returns the time after which a rejected caller is told to retry.
+// retryAfter returns the time after which a rejected caller is advised to retry.
 func (acct *account) retryAfter(now time.Duration) time.Duration {
 	arrivals := acct.arrivals.value(now)
 	if arrivals <= 0 {
--- a/internal/quota/ledger.go
+++ b/internal/quota/ledger.go
@@ -12,7 +12,7 @@
 	maxGatewaySilence = 1500 * time.Millisecond
 	// reserveInterval is the minimum time between two checks for silent gateways.
 	reserveInterval = 200 * time.Millisecond
-	// maxTokenWait bounds the expected time until the next token that a gateway is told.
+	// maxTokenWait bounds the expected time until the next token that is reported to a gateway.
 	maxTokenWait = 5 * time.Second
 	// maxGrants bounds the subjects in one answer to some 4 KB.
 	maxGrants = 128
@@ -31,7 +31,7 @@
 	slack    float64
 	buckets  map[string]*bucket
 	gateways map[string]*gateway
-	// exhausted holds the subjects that have no token left. Each gateway is told of them, so that
+	// exhausted holds the subjects that have no token left. Each gateway is notified of them, so that
 	// none uses tokens of theirs before they are granted.
 	exhausted map[string]bool
 	// leadSince is when the leadership term began, reserveCheckedAt when silent gateways were last
--- a/internal/quota/silence_test.go
+++ b/internal/quota/silence_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestTenantFarBelowItsLimitPassesWhenTheLeaderFallsSilent checks that a request that waited in
-// vain for the leader may use the tokens that its gateway accrued since the leader fell silent, and
+// TestTenantFarBelowItsLimitPassesWhenTheLeaderFallsSilent checks that a request that waited
+// for the leader without an answer may use the tokens that its gateway accrued since the leader fell silent, and
 // that this does not exceed the gateway's part of a small limit.
 func TestTenantFarBelowItsLimitPassesWhenTheLeaderFallsSilent(t *testing.T) {
 	for _, c := range []struct {
--- a/internal/record/loss_test.go
+++ b/internal/record/loss_test.go
@@ -20,7 +20,7 @@
 // which keys are rejected must cover that key, and exceed it by no more than the time until the lease
 // had certainly ended.
 func TestRefusalAfterALossIsTheLeastThatIsSafe(t *testing.T) {
-	// backupOutlives is how much longer the backup lives than the primary. It may become the
+	// backupOutlives is how much longer the backup runs than the primary. It may become the
 	// primary before its end is noticed.
 	const backupOutlives = 2 * tick
 	h := newPlacementHarness(t, "a", "b", "c")
--- a/internal/record/place.go
+++ b/internal/record/place.go
@@ -281,7 +281,7 @@
 	return next
 }
 
-// restartEmpty places the partition anew after the loss of all its records.
+// restartEmpty places the partition again after the loss of all its records.
 func (r *placementRound) restartEmpty(placed state.RecordPartition) (state.RecordPartition, bool) {
 	if len(r.candidates) == 0 {
 		return placed, false
--- a/internal/record/placement.go
+++ b/internal/record/placement.go
@@ -17,11 +17,11 @@
 	LeaseDuration time.Duration
 	// ClockRateBound is the maximum relative difference in rate of two clocks.
 	ClockRateBound float64
-	// Margin is an extra wait before a lease counts as ended.
+	// Margin is an extra wait before a lease counts as expired.
 	Margin time.Duration
 }
 
-// leaseTimeout returns how long after its last renewal a lease has certainly ended.
+// leaseTimeout returns how long after its last renewal a lease has certainly expired.
 func (s PlacementSettings) leaseTimeout() time.Duration {
 	return time.Duration(float64(s.LeaseDuration)*(1+s.ClockRateBound)) + s.Margin
 }
--- a/internal/record/placement_test.go
+++ b/internal/record/placement_test.go
@@ -58,7 +58,7 @@
 	for _, command := range h.placement.Tick(Moment{Now: h.now, UnixMs: startMs + h.now.Milliseconds()}, h.state) {
 		h.index++
 		if result := h.state.Apply(h.index, command); result.Err != nil {
-			h.t.Errorf("command refused: %v", result.Err)
+			h.t.Errorf("command rejected: %v", result.Err)
 		}
 		if command.CloseRouter != nil {
 			h.closed = append(h.closed, command.CloseRouter.Router)
--- a/internal/record/types.go
+++ b/internal/record/types.go
@@ -76,7 +76,7 @@
 	Key         Key
 	Fingerprint Fingerprint
 	// Attempt is unique among the attempts of all routers. A claim may be resent
-	// with the same attempt as long as the attempt has not begun.
+	// with the same attempt as long as the attempt has not started.
 	Attempt string
 	Router  state.RouterID
 	Session state.SessionNumber
--- a/internal/room/doc.go
+++ b/internal/room/doc.go
@@ -1,5 +1,5 @@
 // Package room admits requests to servers on behalf of all gateways. Gateways do not see each
-// other's requests, so each of them alone knows next to nothing of the load of a server with two
+// other's requests, so each of them alone knows almost nothing about the load of a server with two
 // slots: queues grow at some servers while others are idle, a holder of hot keys is late for every
 // caller, and a full server resets connections of requests that must not be retried. Therefore each
 // server has one gateway as its keeper, which counts the requests of all gateways in flight there
--- a/internal/room/keeper.go
+++ b/internal/room/keeper.go
@@ -19,7 +19,7 @@
 	lostAskerGrace = 500 * time.Millisecond
 	// maxDeadline bounds how long a place is kept, whatever deadline the asker gives.
 	maxDeadline = time.Minute
-	// RepeatInterval is how often a gateway is told again that its request waits, so that it knows
+	// RepeatInterval is how often a gateway is notified again that its request waits, so that it knows
 	// that the keeper is alive.
 	RepeatInterval = 100 * time.Millisecond
 )
@@ -160,7 +160,7 @@
 	}
 }
 
-// notifyWaiting tells askers again that their requests wait, every RepeatInterval.
+// notifyWaiting notifies askers again that their requests wait, every RepeatInterval.
 func (k *Keeper) notifyWaiting(now time.Duration, q *queue) {
 	for index := range q.waiting {
 		waiting := &q.waiting[index]
--- a/internal/room/queue.go
+++ b/internal/room/queue.go
@@ -36,7 +36,7 @@
 	target      time.Duration
 	latestStart time.Duration
 	deadline    time.Duration
-	// notifiedAt is when the asker was last told that the request waits.
+	// notifiedAt is when the asker was last notified that the request waits.
 	notifiedAt time.Duration
 }
 
--- a/internal/room/types.go
+++ b/internal/room/types.go
@@ -24,7 +24,7 @@
 	// Queue names the queue that requests for the same servers share: the pool of a service, or one
 	// holder of keys.
 	Queue string
-	// Servers are those of which any one may serve the request.
+	// Servers are the servers any one of which may serve the request.
 	Servers []directory.Instance
 	// Urgency is the rank of the request's route, from 0 for the least urgent to 1.
 	Urgency float64
--- a/internal/router/execute.go
+++ b/internal/router/execute.go
@@ -166,7 +166,7 @@
 	})
 }
 
-// checkReplacedProcesses tells the crash watch which of the server processes that lost requests have been
+// checkReplacedProcesses reports to the crash watch which of the server processes that lost requests have been
 // replaced by a new process.
 func (r *Router) checkReplacedProcesses() {
 	view := r.builder.Table()
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -42,7 +42,7 @@
 	Gateways int
 	// Suspects are the requests that are suspected of crashing instances.
 	Suspects directory.Suspects
-	// Keepers are the gateways that allocate the slots of instances.
+	// Keepers are the gateways that grant places at instances.
 	Keepers []directory.Keeper
 	// Changed are the instances that changed since the earlier table, including those that
 	// are gone. If Whole is true, it holds all instances.
