--- a/internal/gateway/connectiontimes_test.go
+++ b/internal/gateway/connectiontimes_test.go
@@ -57,12 +57,13 @@
 // how long that took.
 func exchangeUntilClosed(t *testing.T, address, sent string) (string, time.Duration) {
 	t.Helper()
+	// Before the dial, since the gateway may accept the connection before Dial returns.
+	began := time.Now()
 	connection, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer func() { _ = connection.Close() }()
-	began := time.Now()
 	if _, err := connection.Write([]byte(sent)); err != nil {
 		t.Fatal(err)
 	}
