--- a/internal/table/buckets.go
+++ b/internal/table/buckets.go
@@ -1,7 +1,7 @@
 package table
 
-// bucketMap is a persistent map: an edit copies only the buckets it touches,
-// and earlier versions stay as they were.
+// bucketMap is a persistent (copy-on-write) map: an edit copies only the buckets
+// that it changes, and earlier versions stay valid.
 type bucketMap[K comparable, V any] struct {
 	buckets []map[K]V
 	hash    func(K) uint64
@@ -12,16 +12,16 @@
 	return bucketMap[K, V]{buckets: make([]map[K]V, buckets), hash: hash}
 }
 
-func (m *bucketMap[K, V]) bucket(key K) int {
+func (m *bucketMap[K, V]) bucketIndex(key K) int {
 	return int(m.hash(key) % uint64(len(m.buckets)))
 }
 
 func (m *bucketMap[K, V]) get(key K) (V, bool) {
-	value, found := m.buckets[m.bucket(key)][key]
+	value, found := m.buckets[m.bucketIndex(key)][key]
 	return value, found
 }
 
-// each calls visit for every entry, in no fixed order, until it returns false.
+// each calls visit for every entry, in no fixed order, until visit returns false.
 func (m *bucketMap[K, V]) each(visit func(K, V) bool) {
 	for _, bucket := range m.buckets {
 		for key, value := range bucket {
@@ -34,14 +34,16 @@
 
 // bucketEdit collects changes that become the next version of a bucketMap.
 type bucketEdit[K comparable, V any] struct {
-	next  bucketMap[K, V]
-	owned map[int]bool
+	next bucketMap[K, V]
+	// copied holds the indexes of the buckets that this edit has copied and may
+	// change in place.
+	copied map[int]bool
 }
 
 func (m *bucketMap[K, V]) edit() *bucketEdit[K, V] {
 	next := bucketMap[K, V]{hash: m.hash, length: m.length}
 	next.buckets = append(make([]map[K]V, 0, len(m.buckets)), m.buckets...)
-	return &bucketEdit[K, V]{next: next, owned: make(map[int]bool)}
+	return &bucketEdit[K, V]{next: next, copied: make(map[int]bool)}
 }
 
 func (e *bucketEdit[K, V]) get(key K) (V, bool) {
@@ -49,7 +51,7 @@
 }
 
 func (e *bucketEdit[K, V]) put(key K, value V) {
-	bucket := e.own(key)
+	bucket := e.writableBucket(key)
 	if _, found := bucket[key]; !found {
 		e.next.length++
 	}
@@ -60,14 +62,15 @@
 	if _, found := e.next.get(key); !found {
 		return
 	}
-	delete(e.own(key), key)
+	delete(e.writableBucket(key), key)
 	e.next.length--
 }
 
-// own returns the key's bucket after making sure that no other version has it.
-func (e *bucketEdit[K, V]) own(key K) map[K]V {
-	index := e.next.bucket(key)
-	if e.owned[index] {
+// writableBucket returns the key's bucket, which it copies first if another
+// version shares it.
+func (e *bucketEdit[K, V]) writableBucket(key K) map[K]V {
+	index := e.next.bucketIndex(key)
+	if e.copied[index] {
 		return e.next.buckets[index]
 	}
 	old := e.next.buckets[index]
@@ -76,6 +79,6 @@
 		bucket[oldKey] = value
 	}
 	e.next.buckets[index] = bucket
-	e.owned[index] = true
+	e.copied[index] = true
 	return bucket
 }
--- a/internal/table/builder.go
+++ b/internal/table/builder.go
@@ -10,34 +10,35 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
-// Reasons for which a Builder refuses a message. The table stays as it was.
+// Errors with which a Builder rejects a message. The table is left unchanged.
 var (
 	// ErrRevisionBack: the message would lead to a lower revision.
 	ErrRevisionBack = eris.New("routing table revision would go back")
-	// ErrClusterDiffers: the message is of another group of controllers.
+	// ErrClusterDiffers: the message comes from another controller cluster.
 	ErrClusterDiffers = eris.New("routing table belongs to another cluster")
 	// ErrGap: the delta does not start at the table's revision.
 	ErrGap = eris.New("routing table delta does not follow the table")
-	// ErrDigestMismatch: the table differs from the controller's after the
-	// message, so that an earlier one was missed.
+	// ErrDigestMismatch: after the message the table differs from the
+	// controller's, so an earlier message was missed.
 	ErrDigestMismatch = eris.New("routing table digest mismatch")
-	// ErrPartOrder: the part of a snapshot came out of order.
+	// ErrPartOrder: a snapshot part arrived out of order.
 	ErrPartOrder = eris.New("routing table snapshot part out of order")
-	// ErrEntryBounds: a shard does not fit the table, because too many servers
-	// have owned shards since the last whole table; a whole table has room again.
+	// ErrEntryBounds: the shard's owner number or epoch does not fit into an
+	// entry. Owner numbers run out when too many servers have owned shards since
+	// the last snapshot; a new snapshot starts the numbering afresh.
 	ErrEntryBounds = eris.New("routing table cannot hold the shard")
 )
 
-// NeedsWhole reports whether only a whole table helps after an error.
+// NeedsWhole reports whether recovery from the error takes a complete snapshot.
 func NeedsWhole(err error) bool {
 	return eris.Is(err, ErrDigestMismatch) || eris.Is(err, ErrGap) || eris.Is(err, ErrPartOrder) || eris.Is(err, ErrEntryBounds)
 }
 
 // Builder applies snapshots and deltas and publishes each complete version.
-// One goroutine applies; any number may read.
+// Only one goroutine may apply messages; any number may read.
 type Builder struct {
 	current atomic.Pointer[Table]
-	pending *draft
+	pending *partialSnapshot
 
 	mutex   sync.Mutex
 	changed chan struct{}
@@ -55,8 +56,8 @@
 	return b.current.Load()
 }
 
-// Changed returns a channel that is closed at the next change. Take it before
-// Table, so that no change is missed in between.
+// Changed returns a channel that is closed at the next change. Call it before
+// Table, or a change between the two calls is missed.
 func (b *Builder) Changed() <-chan struct{} {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -71,15 +72,15 @@
 	b.changed = make(chan struct{})
 }
 
-// ApplySnapshot takes one part of a snapshot. It reports true when the part
-// was the last one and the new table is in force.
+// ApplySnapshot applies one part of a snapshot. It returns true when the part
+// was the last one and the new table is published.
 func (b *Builder) ApplySnapshot(part message.TableSnapshot) (bool, error) {
 	if err := b.checkSnapshot(part); err != nil {
 		b.pending = nil
 		return false, err
 	}
 	if part.First {
-		b.pending = newDraft(part.Cluster, part.Revision, b.Table())
+		b.pending = newPartialSnapshot(part.Cluster, part.Revision, b.Table())
 	}
 	if b.pending == nil || b.pending.revision != part.Revision {
 		b.pending = nil
@@ -117,7 +118,9 @@
 	return nil
 }
 
-// ApplyDelta takes one delta. A delta that the table already covers is ignored.
+// ApplyDelta applies one delta, which must start at the table's revision. It
+// returns ErrRevisionBack for a delta that ends below that revision or its own
+// start, and ErrGap for any other one that starts elsewhere.
 func (b *Builder) ApplyDelta(delta message.TableDelta) error {
 	current := b.Table()
 	if delta.To < delta.From || delta.To < current.revision {
@@ -138,31 +141,31 @@
 	return nil
 }
 
-// draft gathers the parts of a snapshot in compact form. It takes the shards of
-// the present table over in chunks where they are equal, so that a whole table
-// that replaces another one takes little memory beside it.
-type draft struct {
+// partialSnapshot collects the parts of a snapshot in compact form. It reuses
+// the chunks of the current table whose shards are equal, so that a snapshot
+// that replaces a table takes little additional memory.
+type partialSnapshot struct {
 	cluster  message.ClusterID
 	revision state.Revision
 	editor   *editor
 }
 
-func newDraft(cluster message.ClusterID, revision state.Revision, present *Table) *draft {
+func newPartialSnapshot(cluster message.ClusterID, revision state.Revision, previous *Table) *partialSnapshot {
 	empty := emptyTable()
 	editor := newEditor(empty)
-	if !present.names.halfUsed() {
-		editor.next.names = present.names
-		editor.former = present
+	if !previous.names.halfUsed() {
+		editor.next.names = previous.names
+		editor.previous = previous
 	}
-	return &draft{cluster: cluster, revision: revision, editor: editor}
+	return &partialSnapshot{cluster: cluster, revision: revision, editor: editor}
 }
 
-func (d *draft) finish() (*Table, error) {
-	next, err := d.editor.finish()
+func (p *partialSnapshot) finish() (*Table, error) {
+	next, err := p.editor.finish()
 	if err != nil {
 		return nil, err
 	}
-	next.cluster = d.cluster
-	next.revision = d.revision
+	next.cluster = p.cluster
+	next.revision = p.revision
 	return next, nil
 }
--- a/internal/table/editor.go
+++ b/internal/table/editor.go
@@ -7,19 +7,19 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
-// editor makes the next version of a table.
+// editor builds the next version of a table.
 type editor struct {
 	next       *Table
 	servers    *bucketEdit[state.ServerID, *state.Server]
 	routers    *bucketEdit[state.RouterID, *state.Router]
 	partitions *bucketEdit[int, *state.RecordPartition]
 	ranges     map[state.ServiceName]*rangeEdit
-	// ownsServers marks the services whose list of servers this edit made.
-	ownsServers map[state.ServiceName]bool
-	// former is a table whose shards are taken over where they are equal; nil for
-	// none.
-	former *Table
-	// err is the first object that the table cannot hold.
+	// copiedServers marks the services whose server list this edit has copied and
+	// may change in place.
+	copiedServers map[state.ServiceName]bool
+	// previous is a table whose chunks are reused where they are equal; may be nil.
+	previous *Table
+	// err is set when the table cannot hold a shard; finish returns it.
 	err error
 }
 
@@ -33,11 +33,11 @@
 		partitions: from.partitions.edit(),
 		ranges:     make(map[state.ServiceName]*rangeEdit),
 
-		ownsServers: make(map[state.ServiceName]bool),
+		copiedServers: make(map[state.ServiceName]bool),
 	}
 }
 
-// applyObjects returns the table after the objects were put or deleted.
+// applyObjects returns the table with the objects put or deleted.
 func applyObjects(from *Table, objects []state.Object) (*Table, error) {
 	edit := newEditor(from)
 	edit.removeMoved(objects)
@@ -60,7 +60,7 @@
 	e.next.servers = e.servers.next
 	e.next.routers = e.routers.next
 	e.next.partitions = e.partitions.next
-	e.next.owners = e.next.names.names
+	e.next.ownerNames = e.next.names.names
 	return e.next, nil
 }
 
@@ -87,9 +87,9 @@
 	return &serviceView{ranges: &rangeIndex{}}
 }
 
-// replaced takes an object's earlier version out of the digest and its new
-// version in.
-func (e *editor) replaced(object state.Object, earlier state.Object, found bool) {
+// updateDigest removes an object's earlier version, if found, from the digest and
+// adds its new version.
+func (e *editor) updateDigest(object state.Object, earlier state.Object, found bool) {
 	if found {
 		e.next.digest ^= state.ObjectDigest(earlier)
 	}
@@ -99,7 +99,7 @@
 func (e *editor) applyService(object state.Object) {
 	name := object.Service.Name
 	view := *e.view(name)
-	e.replaced(object, state.Object{Service: view.service}, view.service != nil)
+	e.updateDigest(object, state.Object{Service: view.service}, view.service != nil)
 	view.service = object.Service
 	if object.Deleted {
 		view.service = nil
@@ -108,7 +108,7 @@
 	e.dropEmpty(name)
 }
 
-// dropEmpty forgets a service of which nothing is left.
+// dropEmpty deletes a service without configuration, servers and shards.
 func (e *editor) dropEmpty(name state.ServiceName) {
 	view := e.next.services[name]
 	if view.service == nil && len(view.servers) == 0 && len(view.ranges.chunks) == 0 {
@@ -119,9 +119,9 @@
 func (e *editor) applyServer(object state.Object) {
 	id := object.Server.ID
 	earlier, found := e.servers.get(id)
-	e.replaced(object, state.Object{Server: earlier}, found)
+	e.updateDigest(object, state.Object{Server: earlier}, found)
 	if found && (object.Deleted || earlier.Service != object.Server.Service) {
-		e.ownServers(earlier.Service).removeServer(id)
+		e.writableView(earlier.Service).removeServer(id)
 		e.dropEmpty(earlier.Service)
 	}
 	if object.Deleted {
@@ -129,27 +129,27 @@
 		return
 	}
 	e.servers.put(id, object.Server)
-	e.ownServers(object.Server.Service).putServer(object.Server)
+	e.writableView(object.Server.Service).putServer(object.Server)
 }
 
-// ownServers returns a view whose list of servers this edit may change. The list
-// is copied once, however many servers a change holds.
-func (e *editor) ownServers(name state.ServiceName) *serviceView {
+// writableView returns a view whose server list this edit may change in place.
+// The list is copied once, however many servers a change contains.
+func (e *editor) writableView(name state.ServiceName) *serviceView {
 	view, found := e.next.services[name]
-	if found && e.ownsServers[name] {
+	if found && e.copiedServers[name] {
 		return view
 	}
-	owned := *e.view(name)
-	owned.servers = slices.Clone(owned.servers)
-	e.next.services[name] = &owned
-	e.ownsServers[name] = true
-	return &owned
+	copied := *e.view(name)
+	copied.servers = slices.Clone(copied.servers)
+	e.next.services[name] = &copied
+	e.copiedServers[name] = true
+	return &copied
 }
 
 func (e *editor) applyRouter(object state.Object) {
 	id := object.Router.ID
 	earlier, found := e.routers.get(id)
-	e.replaced(object, state.Object{Router: earlier}, found)
+	e.updateDigest(object, state.Object{Router: earlier}, found)
 	if object.Deleted {
 		e.routers.remove(id)
 		return
@@ -160,7 +160,7 @@
 func (e *editor) applyPartition(object state.Object) {
 	number := object.Partition.Number
 	earlier, found := e.partitions.get(number)
-	e.replaced(object, state.Object{Partition: earlier}, found)
+	e.updateDigest(object, state.Object{Partition: earlier}, found)
 	if object.Deleted {
 		e.partitions.remove(number)
 		return
--- a/internal/table/entry.go
+++ b/internal/table/entry.go
@@ -2,7 +2,7 @@
 
 import "github.com/thorntiller/thorntiller/internal/state"
 
-// Bits of entry.packed: the epoch, the owner's number, the phase.
+// Layout of entry.packed, from the highest bits: epoch, owner number, phase.
 const (
 	phaseBits = 2
 	ownerBits = 18
@@ -13,12 +13,12 @@
 	maxEpoch = 1<<epochBits - 1
 )
 
-// phases lists the phases by their numbers in an entry.
+// phases maps the phase numbers in entry.packed to phases.
 var phases = [...]state.ShardPhase{state.ShardUnowned, state.ShardOwned, state.ShardRevoking}
 
-// entry is the compact form of one shard, 32 bytes without a pointer, so that
-// the collector does not look into it. The end of its range is not here: nearly
-// every range ends where the next one begins.
+// entry is the compact form of one shard: 32 bytes without a pointer, so that the
+// garbage collector does not scan it. The end of the range is not stored here,
+// because nearly every range ends where the next one begins; see chunk.ends.
 type entry struct {
 	first  uint64
 	digest uint64
--- a/internal/table/merge_test.go
+++ b/internal/table/merge_test.go
@@ -8,8 +8,9 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
-// A merge comes as one delta: the table that follows has one shard less and the
-// other wider, under the digest of the state, and the one before still has both.
+// TestMergeIsOneRevision checks that a merge arrives as one delta: the next table
+// has one shard less and the remaining one wider, with the digest of the state,
+// and the earlier table still has both shards.
 func TestMergeIsOneRevision(t *testing.T) {
 	view := state.New()
 	index := uint64(0)
@@ -39,9 +40,9 @@
 	if err := builder.ApplyDelta(message.TableDelta{From: from, To: view.Revision(), Objects: result.Changed, Digest: view.Digest()}); err != nil {
 		t.Fatal(err)
 	}
-	const inThird = math.MaxUint64/2 + 5
-	old, _ := before.Lookup(service, inThird)
-	merged, _ := builder.Table().Lookup(service, inThird)
+	const hashInThirdShard = math.MaxUint64/2 + 5
+	old, _ := before.Lookup(service, hashInThirdShard)
+	merged, _ := builder.Table().Lookup(service, hashInThirdShard)
 	if old.ID != 3 || merged.ID != 2 || merged.Epoch != 2 || merged.Owner != "s1" || builder.Table().Summary().Shards != 3 {
 		t.Errorf("before %+v, after %+v, %d shards", old, merged, builder.Table().Summary().Shards)
 	}
--- a/internal/table/names.go
+++ b/internal/table/names.go
@@ -1,9 +1,9 @@
 package table
 
-// nameIndex numbers owners so that half a million shards need not each hold a
-// string. Numbers are never reused; number 0 is the empty name. Only the
-// goroutine that applies changes uses it; each Table holds the names that
-// existed when it was made, and reads them without a lock.
+// nameIndex assigns numbers to owner names so that half a million shards need not
+// each hold a string. Numbers are never reused; 0 is the empty name. Only the
+// goroutine that applies changes uses it; each Table holds the slice of names
+// that existed when the table was built, and reads it without a lock.
 type nameIndex struct {
 	names   []string
 	numbers map[string]uint64
@@ -27,8 +27,8 @@
 	return number, true
 }
 
-// halfUsed reports whether a new table should begin with an index of its own,
-// so that names of servers that are long gone do not fill it.
+// halfUsed reports whether the next snapshot should start with a new index, so
+// that names of servers removed long ago do not fill it.
 func (n *nameIndex) halfUsed() bool {
 	return len(n.names) > maxOwner/2
 }
--- a/internal/table/ranges.go
+++ b/internal/table/ranges.go
@@ -7,14 +7,15 @@
 )
 
 // rangeIndex holds the shards of one service ordered by the first hash of
-// their ranges, in sealed chunks. Versions share the chunks that did not change.
+// their ranges, in sealed chunks. Versions share the unchanged chunks.
 type rangeIndex struct {
 	// firsts holds the first hash of each chunk.
 	firsts []uint64
 	chunks []*chunk
 }
 
-// chunkOf returns the chunk that holds, or would hold, the hash.
+// chunkOf returns the index of the chunk that holds, or would hold, the hash,
+// given the first hash of each chunk.
 func chunkOf(firsts []uint64, hash uint64) int {
 	low, high := 0, len(firsts)
 	for low < high {
@@ -28,36 +29,38 @@
 	return max(low-1, 0)
 }
 
-// lookup returns the entry whose range contains the hash, and the range's end.
+// lookup returns the entry whose range contains the hash, and the last hash of
+// that range. If it returns false and an entry, that is the preceding one.
 func (r *rangeIndex) lookup(hash uint64) (*entry, uint64, bool) {
 	if len(r.chunks) == 0 {
 		return nil, 0, false
 	}
-	holder := r.chunks[chunkOf(r.firsts, hash)]
-	at := holder.position(hash)
+	c := r.chunks[chunkOf(r.firsts, hash)]
+	at := c.floorIndex(hash)
 	if at < 0 {
 		return nil, 0, false
 	}
-	last := holder.end(at)
-	return &holder.entries[at], last, hash <= last
+	last := c.end(at)
+	return &c.entries[at], last, hash <= last
 }
 
-// holds reports whether the shard's range begins at the hash.
-func (r *rangeIndex) holds(first uint64, shard state.ShardID) bool {
+// hasShardAt reports whether the index holds the shard with a range that begins
+// at the hash.
+func (r *rangeIndex) hasShardAt(first uint64, shard state.ShardID) bool {
 	found, _, _ := r.lookup(first)
 	return found != nil && found.first == first && found.shard == shard
 }
 
 // find calls visit for each wanted shard with the first hash of its range. It
-// looks only into chunks that may hold one, by the bounds of their identifiers.
+// skips chunks whose bounds of shard IDs exclude all wanted shards.
 func (r *rangeIndex) find(wanted map[state.ShardID]struct{}, visit func(uint64, state.ShardID)) {
-	low, high := bounds(wanted)
-	for _, holder := range r.chunks {
-		if holder.high < low || holder.low > high {
+	low, high := shardIDBounds(wanted)
+	for _, c := range r.chunks {
+		if c.maxShard < low || c.minShard > high {
 			continue
 		}
-		for at := range holder.entries {
-			item := &holder.entries[at]
+		for at := range c.entries {
+			item := &c.entries[at]
 			if _, found := wanted[item.shard]; found {
 				visit(item.first, item.shard)
 			}
@@ -65,7 +68,7 @@
 	}
 }
 
-func bounds(wanted map[state.ShardID]struct{}) (low, high state.ShardID) {
+func shardIDBounds(wanted map[state.ShardID]struct{}) (low, high state.ShardID) {
 	low = ^state.ShardID(0)
 	for shard := range wanted {
 		low, high = min(low, shard), max(high, shard)
@@ -77,92 +80,94 @@
 type rangeEdit struct {
 	firsts []uint64
 	chunks []*chunk
-	// open marks the chunks that this edit may change in place.
-	open map[*chunk]struct{}
-	// former is an index whose chunks are taken over where they are equal; nil
-	// for none.
-	former *rangeIndex
+	// unsealed holds the chunks that this edit may change in place.
+	unsealed map[*chunk]struct{}
+	// previous is an index whose chunks are reused where they are equal; may be nil.
+	previous *rangeIndex
 }
 
 func (r *rangeIndex) edit() *rangeEdit {
 	return &rangeEdit{
-		firsts: slices.Clone(r.firsts), chunks: slices.Clone(r.chunks), open: make(map[*chunk]struct{}),
+		firsts: slices.Clone(r.firsts), chunks: slices.Clone(r.chunks), unsealed: make(map[*chunk]struct{}),
 	}
 }
 
 func (e *rangeEdit) finish() *rangeIndex {
-	for changed := range e.open {
+	for changed := range e.unsealed {
 		changed.seal()
 	}
-	if e.former != nil {
+	if e.previous != nil {
 		for index := range e.chunks {
-			e.takeOver(index)
+			e.reuseEqualChunk(index)
 		}
 	}
 	return &rangeIndex{firsts: slices.Clip(e.firsts), chunks: slices.Clip(e.chunks)}
 }
 
-// takeOver replaces a sealed chunk by the former one, if it is equal.
-func (e *rangeEdit) takeOver(index int) {
-	at, found := slices.BinarySearch(e.former.firsts, e.firsts[index])
-	if found && e.former.chunks[at].equal(e.chunks[index]) {
-		e.chunks[index] = e.former.chunks[at]
+// reuseEqualChunk replaces a sealed chunk by an equal one of the previous index,
+// if there is one.
+func (e *rangeEdit) reuseEqualChunk(index int) {
+	at, found := slices.BinarySearch(e.previous.firsts, e.firsts[index])
+	if found && e.previous.chunks[at].equal(e.chunks[index]) {
+		e.chunks[index] = e.previous.chunks[at]
 	}
 }
 
-// complete seals the last chunk, behind which another one begins.
-func (e *rangeEdit) complete() {
+// sealLastChunk seals the last chunk before another one is appended.
+func (e *rangeEdit) sealLastChunk() {
 	index := len(e.chunks) - 1
 	if index < 0 {
 		return
 	}
-	if _, open := e.open[e.chunks[index]]; !open {
+	if _, unsealed := e.unsealed[e.chunks[index]]; !unsealed {
 		return
 	}
-	delete(e.open, e.chunks[index])
+	delete(e.unsealed, e.chunks[index])
 	e.chunks[index].seal()
-	if e.former != nil {
-		e.takeOver(index)
+	if e.previous != nil {
+		e.reuseEqualChunk(index)
 	}
 }
 
-// own returns a chunk that this edit may change in place.
-func (e *rangeEdit) own(index int) *chunk {
-	present := e.chunks[index]
-	if _, open := e.open[present]; open {
-		return present
+// mutableChunk returns the chunk at an index, replaced by an unsealed copy if this
+// edit may not change it in place.
+func (e *rangeEdit) mutableChunk(index int) *chunk {
+	current := e.chunks[index]
+	if _, unsealed := e.unsealed[current]; unsealed {
+		return current
 	}
-	copied := present.opened()
+	copied := current.mutableCopy()
 	e.chunks[index] = copied
-	e.open[copied] = struct{}{}
+	e.unsealed[copied] = struct{}{}
 	return copied
 }
 
 // put inserts the entry, or replaces and returns the one with the same first
-// hash.
+// hash. The last hash of the entry's range is last.
 func (e *rangeEdit) put(added entry, last uint64) (replaced entry, found bool) {
 	index := chunkOf(e.firsts, added.first)
-	if e.beginsChunk(index, added.first) {
+	if e.startsNewChunk(index, added.first) {
 		e.appendChunk(added, last)
 		return entry{}, false
 	}
-	holder := e.own(index)
-	at, found := holder.search(added.first)
+	c := e.mutableChunk(index)
+	at, found := c.search(added.first)
 	if found {
-		replaced = holder.entries[at]
-		holder.entries[at] = added
-		holder.lasts[at] = last
+		replaced = c.entries[at]
+		c.entries[at] = added
+		c.ends[at] = last
 		return replaced, true
 	}
-	holder.insert(at, added, last)
-	e.firsts[index] = holder.entries[0].first
+	c.insert(at, added, last)
+	e.firsts[index] = c.entries[0].first
 	e.split(index)
 	return entry{}, false
 }
 
-// beginsChunk reports whether an entry goes behind all others into a chunk of
-// its own: the last chunk is full, or the former index has a chunk there.
-func (e *rangeEdit) beginsChunk(index int, first uint64) bool {
+// startsNewChunk reports whether an entry is to be appended in a new chunk: it
+// sorts after all others, and the last chunk is full or a chunk of the previous
+// index begins at its hash.
+func (e *rangeEdit) startsNewChunk(index int, first uint64) bool {
 	if len(e.chunks) == 0 {
 		return true
 	}
@@ -170,37 +175,36 @@
 	if index+1 < len(e.chunks) || first <= entries[len(entries)-1].first {
 		return false
 	}
-	if len(entries) >= chunkSize || e.former == nil {
+	if len(entries) >= chunkSize || e.previous == nil {
 		return len(entries) >= chunkSize
 	}
-	_, boundary := slices.BinarySearch(e.former.firsts, first)
+	_, boundary := slices.BinarySearch(e.previous.firsts, first)
 	return boundary
 }
 
-// appendChunk adds a chunk behind all others.
+// appendChunk appends a chunk that holds one entry.
 func (e *rangeEdit) appendChunk(added entry, last uint64) {
-	e.complete()
+	e.sealLastChunk()
 	created := newChunk(chunkSize)
 	created.insert(0, added, last)
-	e.open[created] = struct{}{}
+	e.unsealed[created] = struct{}{}
 	e.chunks = append(e.chunks, created)
 	e.firsts = append(e.firsts, added.first)
 }
 
-// split halves a chunk that grew beyond its bound.
+// split halves a chunk that holds more than chunkSize entries.
 func (e *rangeEdit) split(index int) {
-	holder := e.chunks[index]
-	if len(holder.entries) <= chunkSize {
+	c := e.chunks[index]
+	if len(c.entries) <= chunkSize {
 		return
 	}
-	upper := holder.halve()
-	e.open[upper] = struct{}{}
+	upper := c.halve()
+	e.unsealed[upper] = struct{}{}
 	e.chunks = slices.Insert(e.chunks, index+1, upper)
 	e.firsts = slices.Insert(e.firsts, index+1, upper.entries[0].first)
 }
 
-// remove deletes the shard whose range begins at the hash and returns its
-// entry, if it is there.
+// remove deletes the shard if its range begins at the hash, and returns its entry.
 func (e *rangeEdit) remove(first uint64, shard state.ShardID) (entry, bool) {
 	if len(e.chunks) == 0 {
 		return entry{}, false
@@ -212,18 +216,18 @@
 	}
 	removed := e.chunks[index].entries[at]
 	if len(e.chunks[index].entries) == 1 {
-		e.drop(index)
+		e.removeChunk(index)
 		return removed, true
 	}
-	holder := e.own(index)
-	holder.remove(at)
-	e.firsts[index] = holder.entries[0].first
+	c := e.mutableChunk(index)
+	c.remove(at)
+	e.firsts[index] = c.entries[0].first
 	return removed, true
 }
 
-// drop forgets a chunk of which nothing would be left.
-func (e *rangeEdit) drop(index int) {
-	delete(e.open, e.chunks[index])
+// removeChunk removes a chunk whose only entry is deleted.
+func (e *rangeEdit) removeChunk(index int) {
+	delete(e.unsealed, e.chunks[index])
 	e.chunks = slices.Delete(e.chunks, index, index+1)
 	e.firsts = slices.Delete(e.firsts, index, index+1)
 }
--- a/internal/table/shards.go
+++ b/internal/table/shards.go
@@ -6,15 +6,16 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
-// removeMoved removes shards that are deleted or begin elsewhere now, since a
-// split or merge lets ranges overlap halfway through. Most changes leave a shard
-// where it begins, and new shards have higher identifiers than any before, so
-// that the shards are rarely searched by identifier. That costs more than an
-// index of them would, but the index would take as much memory as the entries.
+// removeMoved removes the shards that are deleted or whose range now begins at
+// another hash. This is done before any shard is put, since ranges would overlap
+// while a split or merge is half applied. Most changes leave the first hash of a
+// shard as it is, and new shards have higher IDs than any before, so a search by
+// ID is rare. The search costs more than a lookup in an index of the IDs would,
+// but such an index would take as much memory as the entries.
 func (e *editor) removeMoved(objects []state.Object) {
 	wanted := make(map[state.ShardID]struct{})
 	for _, object := range objects {
-		if object.Shard != nil && object.Shard.ID <= e.next.newest && !e.staysInPlace(object) {
+		if object.Shard != nil && object.Shard.ID <= e.next.maxShardID && !e.staysInPlace(object) {
 			wanted[object.Shard.ID] = struct{}{}
 		}
 	}
@@ -26,11 +27,11 @@
 	}
 }
 
-// staysInPlace reports whether the shard is in the table and begins where it
-// did.
+// staysInPlace reports whether the shard is in the table, is not deleted and keeps
+// the first hash of its range.
 func (e *editor) staysInPlace(object state.Object) bool {
 	shard := object.Shard
-	return !object.Deleted && e.view(shard.Service).ranges.holds(shard.Range.First, shard.ID)
+	return !object.Deleted && e.view(shard.Service).ranges.hasShardAt(shard.Range.First, shard.ID)
 }
 
 func (e *editor) removeShard(name state.ServiceName, first uint64, shard state.ShardID) {
@@ -39,16 +40,17 @@
 		return
 	}
 	e.next.digest ^= removed.digest
-	e.next.shards--
+	e.next.shardCount--
 }
 
 // applyShard puts a shard. The table's digest covers exactly the entries that
-// are in it, so that a shard which displaces another one is noticed.
+// are in it, so that a shard which overwrites another one causes a digest
+// mismatch. Deleted shards are handled by removeMoved.
 func (e *editor) applyShard(object state.Object) {
 	if object.Deleted {
 		return
 	}
-	item, err := e.entryOf(object)
+	item, err := e.newEntry(object)
 	if err != nil {
 		e.err = err
 		return
@@ -57,20 +59,20 @@
 	if found {
 		e.next.digest ^= replaced.digest
 	} else {
-		e.next.shards++
+		e.next.shardCount++
 	}
 	e.next.digest ^= item.digest
-	e.next.newest = max(e.next.newest, object.Shard.ID)
+	e.next.maxShardID = max(e.next.maxShardID, object.Shard.ID)
 }
 
-func (e *editor) entryOf(object state.Object) (entry, error) {
+func (e *editor) newEntry(object state.Object) (entry, error) {
 	shard := object.Shard
-	owner, numbered := e.next.names.number(string(shard.Owner))
-	if !numbered {
-		return entry{}, eris.Wrapf(ErrEntryBounds, "shard %d: owner %q is one of more than %d", shard.ID, shard.Owner, maxOwner)
+	owner, ok := e.next.names.number(string(shard.Owner))
+	if !ok {
+		return entry{}, eris.Wrapf(ErrEntryBounds, "shard %d: owner %q exceeds the limit of %d owner names", shard.ID, shard.Owner, maxOwner)
 	}
 	if shard.Epoch > maxEpoch {
-		return entry{}, eris.Wrapf(ErrEntryBounds, "shard %d: epoch %d is above %d", shard.ID, shard.Epoch, uint64(maxEpoch))
+		return entry{}, eris.Wrapf(ErrEntryBounds, "shard %d: epoch %d exceeds the maximum of %d", shard.ID, shard.Epoch, uint64(maxEpoch))
 	}
 	return entry{
 		first: shard.Range.First, shard: shard.ID, digest: state.ObjectDigest(object),
@@ -78,21 +80,22 @@
 	}, nil
 }
 
-// rangesOf returns the edit of a service's shards.
+// rangesOf returns the edit of a service's shard ranges, which it starts at the
+// first call.
 func (e *editor) rangesOf(name state.ServiceName) *rangeEdit {
 	if ranges, found := e.ranges[name]; found {
 		return ranges
 	}
 	ranges := e.view(name).ranges.edit()
-	if e.former != nil {
-		ranges.former = e.formerRanges(name)
+	if e.previous != nil {
+		ranges.previous = e.previousRanges(name)
 	}
 	e.ranges[name] = ranges
 	return ranges
 }
 
-func (e *editor) formerRanges(name state.ServiceName) *rangeIndex {
-	view, found := e.former.services[name]
+func (e *editor) previousRanges(name state.ServiceName) *rangeIndex {
+	view, found := e.previous.services[name]
 	if !found {
 		return nil
 	}
--- a/internal/table/shards_test.go
+++ b/internal/table/shards_test.go
@@ -17,7 +17,8 @@
 
 var modelServices = []state.ServiceName{"ledger", "other"}
 
-// shardModel is a map of shards that random operations change.
+// shardModel is a model of shards only, in a plain map, to which random changes
+// are made.
 type shardModel struct {
 	*model
 	random *rand.Rand
@@ -32,7 +33,7 @@
 		for _, name := range modelServices {
 			last := first + width - 1
 			if random.IntN(20) == 0 {
-				last -= 1 + random.Uint64N(width/2) // a gap behind the range
+				last -= 1 + random.Uint64N(width/2) // leave a gap after the range
 			}
 			object := m.shard(name, first, last)
 			m.objects[object.Key()] = object
@@ -51,7 +52,8 @@
 	}}
 }
 
-// ordered returns the shards of a service by the first hash of their ranges.
+// ordered returns the shards of a service, sorted by the first hash of their
+// ranges.
 func (m *shardModel) ordered(name state.ServiceName) []*state.Shard {
 	var shards []*state.Shard
 	for _, object := range m.objects {
@@ -64,7 +66,7 @@
 }
 
 // change moves, splits, merges or deletes one shard, or shifts a boundary so
-// that the upper shard begins elsewhere under the same identifier.
+// that the upper shard begins at another hash under the same ID.
 func (m *shardModel) change() []state.Object {
 	shards := m.ordered(modelServices[m.random.IntN(len(modelServices))])
 	if len(shards) < 2 {
@@ -72,7 +74,7 @@
 	}
 	at := m.random.IntN(len(shards) - 1)
 	lower, upper := *shards[at], *shards[at+1]
-	gone := state.Object{Shard: &state.Shard{ID: upper.ID}, Deleted: true}
+	deleted := state.Object{Shard: &state.Shard{ID: upper.ID}, Deleted: true}
 	middle := lower.Range.First + (lower.Range.Last-lower.Range.First)/2
 	switch m.random.IntN(5) {
 	case 0:
@@ -84,18 +86,19 @@
 		return []state.Object{added, {Shard: &lower}}
 	case 2:
 		lower.Range.Last = upper.Range.Last
-		return []state.Object{{Shard: &lower}, gone}
+		return []state.Object{{Shard: &lower}, deleted}
 	case 3:
 		upper.Range.First = middle + 1
 		lower.Range.Last = middle
 		return []state.Object{{Shard: &upper}, {Shard: &lower}}
 	default:
-		return []state.Object{gone}
+		return []state.Object{deleted}
 	}
 }
 
-// parts returns the whole table in messages of random sizes, in random order.
-func (m *shardModel) parts() []message.TableSnapshot {
+// snapshotParts returns the whole table in snapshot parts of a random size. The
+// objects are sorted, or in random order in one of three calls.
+func (m *shardModel) snapshotParts() []message.TableSnapshot {
 	objects := m.snapshot().Objects
 	slices.SortFunc(objects, func(a, b state.Object) int {
 		return cmp.Or(cmp.Compare(a.Shard.Service, b.Shard.Service), cmp.Compare(a.Shard.Range.First, b.Shard.Range.First))
@@ -112,7 +115,7 @@
 }
 
 func (m *shardModel) load(t *testing.T, builder *Builder) bool {
-	for _, part := range m.parts() {
+	for _, part := range m.snapshotParts() {
 		complete, err := builder.ApplySnapshot(part)
 		if err != nil || complete != part.Last {
 			t.Logf("snapshot: complete %v, %v", complete, err)
@@ -122,7 +125,8 @@
 	return true
 }
 
-// matches compares every range's ends, and the hashes beside them, with a table.
+// matches compares lookups in the table at the first and last hash of every
+// range, and at the hash after it, with the model.
 func (m *shardModel) matches(t *testing.T, view *Table) bool {
 	if view.Summary().Shards != len(m.objects) || view.Digest() != digestOf(m.objects) {
 		t.Logf("%d shards, want %d", view.Summary().Shards, len(m.objects))
@@ -134,10 +138,10 @@
 			want := Shard{ID: shard.ID, Range: shard.Range, Phase: shard.Phase, Owner: shard.Owner, Epoch: shard.Epoch}
 			first, _ := view.Lookup(name, shard.Range.First)
 			last, _ := view.Lookup(name, shard.Range.Last)
-			_, behind := view.Lookup(name, shard.Range.Last+1)
-			follows := at+1 < len(shards) && shards[at+1].Range.First == shard.Range.Last+1
-			if first != want || last != want || behind != follows {
-				t.Logf("got %+v and %+v, behind %v, want %+v", first, last, behind, want)
+			_, nextFound := view.Lookup(name, shard.Range.Last+1)
+			adjacent := at+1 < len(shards) && shards[at+1].Range.First == shard.Range.Last+1
+			if first != want || last != want || nextFound != adjacent {
+				t.Logf("got %+v and %+v, next found %v, want %+v", first, last, nextFound, want)
 				return false
 			}
 		}
@@ -145,8 +149,8 @@
 	return true
 }
 
-// TestShardsMatchAMap applies random changes, several in a delta, and whole
-// tables now and then, to the compact table and to a plain map.
+// TestShardsMatchAMap applies random changes, several in a delta, and occasional
+// snapshots to the compact table and to a plain map.
 func TestShardsMatchAMap(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(11)
 	parameters.MinSuccessfulTests = 10
@@ -172,11 +176,11 @@
 	properties.TestingRun(t)
 }
 
-// TestWholeTableSharesEqualShards checks that a whole table which replaces an
-// equal one takes its chunks over.
+// TestWholeTableSharesEqualShards checks that a snapshot which replaces an equal
+// table reuses its chunks.
 func TestWholeTableSharesEqualShards(t *testing.T) {
 	m := evenShards(5 * chunkSize)
-	builder := loaded(t, m)
+	builder := newLoadedBuilder(t, m)
 	random := rand.New(rand.NewPCG(3, 3))
 	for step := range 3 {
 		if err := builder.ApplyDelta(m.change(random, 10_000+2*step)); err != nil {
@@ -197,17 +201,17 @@
 }
 
 // TestShardsThatDoNotFit checks that a shard beyond the bounds of an entry, and
-// one that displaces another, are refused and leave the table alone.
+// one that overwrites another, are rejected and leave the table unchanged.
 func TestShardsThatDoNotFit(t *testing.T) {
 	m := evenShards(3)
-	builder := loaded(t, m)
+	builder := newLoadedBuilder(t, m)
 	current := builder.Table()
-	late := shardObject(2, 5, 6, maxEpoch+1)
+	epochTooHigh := shardObject(2, 5, 6, maxEpoch+1)
 	displacing := shardObject(9, 0, 5, 1)
 	for _, each := range []struct {
 		object state.Object
 		want   error
-	}{{late, ErrEntryBounds}, {displacing, ErrDigestMismatch}} {
+	}{{epochTooHigh, ErrEntryBounds}, {displacing, ErrDigestMismatch}} {
 		delta := message.TableDelta{
 			From: m.revision, To: m.revision + 1, Objects: []state.Object{each.object},
 			Digest: m.digest ^ state.ObjectDigest(each.object),
@@ -217,14 +221,14 @@
 		}
 	}
 	if builder.Table() != current {
-		t.Error("a refused shard changed the table")
+		t.Error("a rejected shard changed the table")
 	}
 	names := newNameIndex()
 	names.names = make([]string, maxOwner)
 	if _, numbered := names.number("last"); !numbered || !names.halfUsed() {
-		t.Error("no number for the last name")
+		t.Error("the last name got no number, or the index is not reported as half used")
 	}
 	if _, numbered := names.number("one more"); numbered {
-		t.Error("a name got a number that does not fit")
+		t.Error("a name got a number above maxOwner")
 	}
 }
--- a/internal/table/table.go
+++ b/internal/table/table.go
@@ -10,7 +10,7 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
-const objectBuckets = 128
+const bucketCount = 128
 
 // Table is one immutable version of the routing table.
 type Table struct {
@@ -22,20 +22,19 @@
 	servers    bucketMap[state.ServerID, *state.Server]
 	routers    bucketMap[state.RouterID, *state.Router]
 	partitions bucketMap[int, *state.RecordPartition]
-	// shards is how many shards there are, newest the highest identifier that any
-	// had.
-	shards int
-	newest state.ShardID
-	// owners are the names that shards refer to by number.
-	owners []string
-	names  *nameIndex
+	shardCount int
+	// maxShardID is the highest ID that any shard has had.
+	maxShardID state.ShardID
+	// ownerNames holds the owner names by the numbers that entries refer to.
+	ownerNames []string
+	names      *nameIndex
 }
 
-// serviceView is a service with what belongs to it.
+// serviceView is a service with its servers and shards.
 type serviceView struct {
-	// service is nil while only servers or shards of it are known.
+	// service is nil while only servers or shards of the service are known.
 	service *state.Service
-	// servers are ordered by identifier.
+	// servers is sorted by ID.
 	servers []*state.Server
 	ranges  *rangeIndex
 }
@@ -50,7 +49,7 @@
 	Epoch state.Epoch
 }
 
-// Summary describes a table in a few numbers.
+// Summary holds the revision, the digest and the object counts of a table.
 type Summary struct {
 	Cluster    message.ClusterID `json:"cluster"`
 	Revision   state.Revision    `json:"revision"`
@@ -65,9 +64,9 @@
 func emptyTable() *Table {
 	return &Table{
 		services:   make(map[state.ServiceName]*serviceView),
-		servers:    newBucketMap[state.ServerID, *state.Server](objectBuckets, hashName[state.ServerID]),
-		routers:    newBucketMap[state.RouterID, *state.Router](objectBuckets, hashName[state.RouterID]),
-		partitions: newBucketMap[int, *state.RecordPartition](objectBuckets, func(n int) uint64 { return uint64(n) }),
+		servers:    newBucketMap[state.ServerID, *state.Server](bucketCount, hashName[state.ServerID]),
+		routers:    newBucketMap[state.RouterID, *state.Router](bucketCount, hashName[state.RouterID]),
+		partitions: newBucketMap[int, *state.RecordPartition](bucketCount, func(n int) uint64 { return uint64(n) }),
 		names:      newNameIndex(),
 	}
 }
@@ -76,26 +75,26 @@
 	return xxhash.Sum64String(string(name))
 }
 
-// Cluster returns the group of controllers that the table came from.
+// Cluster returns the controller cluster that the table came from.
 func (t *Table) Cluster() message.ClusterID { return t.cluster }
 
 // Revision returns the revision of the table; zero before the first snapshot.
 func (t *Table) Revision() state.Revision { return t.revision }
 
-// Digest returns the exclusive-or of the digests of all objects.
+// Digest returns the XOR of the digests of all objects.
 func (t *Table) Digest() uint64 { return t.digest }
 
-// Summary returns the numbers of objects, the revision and the digest.
+// Summary returns the revision, the digest and the object counts.
 func (t *Table) Summary() Summary {
 	return Summary{
 		Cluster: t.cluster, Revision: t.revision, Digest: t.digest,
-		Services: len(t.services), Servers: t.servers.length, Shards: t.shards,
+		Services: len(t.services), Servers: t.servers.length, Shards: t.shardCount,
 		Routers: t.routers.length, Partitions: t.partitions.length,
 	}
 }
 
-// Service returns the configuration of a service. The result is shared and
-// must not be changed, as with every pointer that a Table gives out.
+// Service returns the configuration of a service. The result is shared and must
+// not be modified, like every pointer and slice that a Table returns.
 func (t *Table) Service(name state.ServiceName) (*state.Service, bool) {
 	view, found := t.services[name]
 	if !found || view.service == nil {
@@ -109,7 +108,7 @@
 	return t.servers.get(id)
 }
 
-// Servers returns the servers of a service, ordered by identifier.
+// Servers returns the servers of a service, sorted by ID.
 func (t *Table) Servers(name state.ServiceName) []*state.Server {
 	view, found := t.services[name]
 	if !found {
@@ -163,7 +162,7 @@
 	}
 	return Shard{
 		ID: item.shard, Range: state.KeyRange{First: item.first, Last: last}, Epoch: item.epoch(),
-		Phase: item.phase(), Owner: state.ServerID(t.owners[item.owner()]),
+		Phase: item.phase(), Owner: state.ServerID(t.ownerNames[item.owner()]),
 	}, true
 }
 
--- a/internal/table/table_bench_test.go
+++ b/internal/table/table_bench_test.go
@@ -10,7 +10,7 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
-// Sizes of the benchmarks, as the largest size to design for.
+// Benchmark sizes: the largest deployment that the design targets.
 const (
 	benchmarkShards  = 530_000
 	benchmarkServers = 6_200
@@ -92,20 +92,20 @@
 	}
 }
 
-// BenchmarkHeap reports the memory that a table takes, and how long a collection
-// of a heap with little else takes.
+// BenchmarkHeap reports the memory that a table takes, and the duration of a
+// garbage collection of a heap that holds little else.
 func BenchmarkHeap(b *testing.B) {
-	before := liveBytes()
+	before := heapBytesAfterGC()
 	builder, _ := benchmarkBuilder(b)
-	taken := liveBytes() - before
+	tableBytes := heapBytesAfterGC() - before
 	for b.Loop() {
 		runtime.GC()
 	}
-	b.ReportMetric(float64(taken)/(1<<20), "MB")
+	b.ReportMetric(float64(tableBytes)/(1<<20), "MB")
 	runtime.KeepAlive(builder)
 }
 
-func liveBytes() uint64 {
+func heapBytesAfterGC() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var stats runtime.MemStats
--- a/internal/table/table_test.go
+++ b/internal/table/table_test.go
@@ -30,7 +30,7 @@
 	return digest
 }
 
-// model is the plain form of what a Builder should hold.
+// model is a plain map of the objects that a Builder should hold.
 type model struct {
 	objects  map[string]state.Object
 	revision state.Revision
@@ -62,7 +62,7 @@
 	return part
 }
 
-// evenShards returns a model with count shards over the whole key space.
+// evenShards returns a model with count shards that cover the whole key space.
 func evenShards(count int) *model {
 	m := &model{objects: make(map[string]state.Object), revision: 10}
 	width := ^uint64(0)/uint64(count) + 1
@@ -79,7 +79,7 @@
 	return m
 }
 
-func loaded(t *testing.T, m *model) *Builder {
+func newLoadedBuilder(t *testing.T, m *model) *Builder {
 	t.Helper()
 	builder := NewBuilder()
 	if complete, err := builder.ApplySnapshot(m.snapshot()); err != nil || !complete {
@@ -88,7 +88,7 @@
 	return builder
 }
 
-// checkLookups compares lookups with a scan of the model.
+// checkLookups compares lookups of random hashes with a scan of the model.
 func checkLookups(t *testing.T, m *model, view *Table, random *rand.Rand) bool {
 	t.Helper()
 	for range 50 {
@@ -109,7 +109,8 @@
 	return true
 }
 
-// change moves, splits or deletes a random shard of the model.
+// change raises the epoch of a random shard of the model, splits the shard or
+// replaces it by a new one, and returns the delta.
 func (m *model) change(random *rand.Rand, nextID int) message.TableDelta {
 	shards := make([]*state.Shard, 0, len(m.objects))
 	for id := 1; id < nextID; id++ {
@@ -124,8 +125,8 @@
 		chosen.Epoch++
 		return m.delta(state.Object{Shard: &chosen})
 	case 1:
-		gone := state.Object{Shard: &state.Shard{ID: chosen.ID}, Deleted: true}
-		return m.delta(gone, shardObject(nextID, chosen.Range.First, middle, 1), shardObject(nextID+1, middle+1, chosen.Range.Last, 1))
+		deleted := state.Object{Shard: &state.Shard{ID: chosen.ID}, Deleted: true}
+		return m.delta(deleted, shardObject(nextID, chosen.Range.First, middle, 1), shardObject(nextID+1, middle+1, chosen.Range.Last, 1))
 	case 2:
 		upper := shardObject(nextID, middle+1, chosen.Range.Last, 1)
 		chosen.Range.Last = middle
@@ -142,7 +143,7 @@
 	properties.Property("every delta leads to the model's table", prop.ForAll(func(seed uint64) bool {
 		random := rand.New(rand.NewPCG(seed, 1))
 		m := evenShards(1 + random.IntN(3*chunkSize))
-		builder := loaded(t, m)
+		builder := newLoadedBuilder(t, m)
 		old := builder.Table()
 		before := *m
 		before.objects = make(map[string]state.Object, len(m.objects))
@@ -164,7 +165,7 @@
 
 func TestBuilderRefuses(t *testing.T) {
 	m := evenShards(4)
-	builder := loaded(t, m)
+	builder := newLoadedBuilder(t, m)
 	current := builder.Table()
 	other := m.snapshot()
 	other.Cluster = "d"
@@ -194,13 +195,13 @@
 		}
 	}
 	if builder.Table() != current {
-		t.Error("a refused message changed the table")
+		t.Error("a rejected message changed the table")
 	}
 }
 
 func TestObjectsComeAndGo(t *testing.T) {
 	m := evenShards(2)
-	builder := loaded(t, m)
+	builder := newLoadedBuilder(t, m)
 	changed := builder.Changed()
 	server := func(name state.ServiceName, deleted bool) state.Object {
 		return state.Object{Server: &state.Server{ID: "s1", Service: name, Address: "127.0.0.1:1"}, Deleted: deleted}
--- a/internal/table/zone_bench_test.go
+++ b/internal/table/zone_bench_test.go
@@ -8,8 +8,9 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
-// BenchmarkZoneLoss is what the loss of a seventh of 6,200 servers costs a router's
-// table: their sessions end in the given number of entries.
+// BenchmarkZoneLoss measures the update of a router's table after the loss of a
+// zone with a seventh of 6,200 servers, whose sessions are closed in the given
+// number of log entries.
 func BenchmarkZoneLoss(b *testing.B) {
 	const servers, shards, zones = 6_200, 527_000, 7
 	lost := servers / zones
@@ -18,7 +19,7 @@
 			for b.Loop() {
 				b.StopTimer()
 				view, builder := largeTable(b, servers, shards)
-				deltas := closures(view, lost, entries, zones)
+				deltas := closeSessionDeltas(view, lost, entries, zones)
 				b.StartTimer()
 				for _, delta := range deltas {
 					if err := builder.ApplyDelta(delta); err != nil {
@@ -34,8 +35,8 @@
 	return state.ServerID(fmt.Sprintf("server-%05d", number))
 }
 
-// largeTable returns a state in which every server has a session and shards in
-// turn, and a table at its revision.
+// largeTable returns a state in which every server has a session and the shards
+// are spread over the servers, and a builder with a table at its revision.
 func largeTable(b *testing.B, servers, shards int) (*state.State, *Builder) {
 	b.Helper()
 	view := state.New()
@@ -64,8 +65,9 @@
 	return view, builder
 }
 
-// closures ends the sessions of lost servers, in a number of entries.
-func closures(view *state.State, lost, entries, zones int) []message.TableDelta {
+// closeSessionDeltas closes the sessions of the lost servers in a number of log
+// entries, and returns one delta for each.
+func closeSessionDeltas(view *state.State, lost, entries, zones int) []message.TableDelta {
 	var deltas []message.TableDelta
 	for entry := range entries {
 		closed := &state.CloseSessions{}
