--- a/internal/tablestream/doc.go
+++ b/internal/tablestream/doc.go
@@ -1,5 +1,5 @@
-// Package tablestream decides what a leader sends a router of the routing table:
-// the whole table, or the changes that lead on from what the router holds; of
-// either, the part that the router subscribes to. The controller process sends it
-// by connections, the simulator by its network.
+// Package tablestream decides what the leader sends to a router: a snapshot of the
+// whole routing table, or the changes since the revision that the router holds.
+// Either is limited to the subset that the router subscribes to. The controller
+// process sends the result over connections, the simulator over its network.
 package tablestream
--- a/internal/tablestream/history.go
+++ b/internal/tablestream/history.go
@@ -12,9 +12,9 @@
 
 // Change is one delta of the routing table.
 type Change struct {
-	// Delta must not be changed.
+	// Delta must not be modified.
 	Delta message.TableDelta
-	// Differences is by how much the digests of the sections changed.
+	// Differences holds the XOR difference of each changed section's digest.
 	Differences state.SectionDigests
 
 	once  sync.Once
@@ -22,15 +22,15 @@
 	err   error
 }
 
-// Encoded returns the change as a frame for routers. It is encoded once, by the
-// first stream that sends it.
+// Encoded returns the change as a frame for routers. The first call encodes it;
+// all streams share the result.
 func (c *Change) Encoded() (wire.Frame, error) {
 	c.once.Do(func() { c.frame, c.err = wire.Encode(&message.ControllerFrame{Delta: &c.Delta}) })
 	return c.frame, c.err
 }
 
-// History keeps the newest changes of the routing table, so that a router that
-// reconnects gets what it missed. It is safe for concurrent use.
+// History keeps the latest changes of the routing table, so that a router that
+// reconnects gets the changes that it missed. It is safe for concurrent use.
 type History struct {
 	mutex   sync.Mutex
 	limit   int
@@ -41,14 +41,14 @@
 	changed chan struct{}
 }
 
-// NewHistory returns a history that begins at a revision and keeps at most limit
-// changes.
+// NewHistory returns an empty history that begins at a revision and keeps at most
+// limit changes.
 func NewHistory(limit int, newest state.Revision) *History {
 	return &History{limit: limit, newest: newest, changed: make(chan struct{})}
 }
 
-// Apply applies the command of a log entry to the state, and keeps the change of
-// the routing table. The caller guards the state.
+// Apply applies the command of a log entry to the state and records the change of
+// the routing table. The caller must synchronize access to the state.
 func (h *History) Apply(to *state.State, index uint64, command state.Command) state.Result {
 	previous := to.Revision()
 	result := to.Apply(index, command)
@@ -71,7 +71,7 @@
 	h.signal()
 }
 
-// Reset forgets every change, as after a snapshot from the leader.
+// Reset discards all changes, e.g. after a snapshot from the leader was installed.
 func (h *History) Reset(newest state.Revision) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -85,9 +85,9 @@
 	h.changed = make(chan struct{})
 }
 
-// After returns the changes that lead on from a revision, and a channel that is
-// closed at the next change. It returns false when the history does not reach
-// back to the revision.
+// After returns the changes since a revision and a channel that is closed at the
+// next change. It returns false if the history does not reach back to the
+// revision.
 func (h *History) After(revision state.Revision) ([]*Change, <-chan struct{}, bool) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -103,7 +103,7 @@
 	return h.changes[position:len(h.changes):len(h.changes)], h.changed, true
 }
 
-// Reaches reports whether the history leads on from a revision.
+// Reaches reports whether the history has all changes since a revision.
 func (h *History) Reaches(revision state.Revision) bool {
 	_, _, reached := h.After(revision)
 	return reached
--- a/internal/tablestream/part.go
+++ b/internal/tablestream/part.go
@@ -7,49 +7,49 @@
 	"github.com/thorntiller/thorntiller/internal/wire"
 )
 
-// part is what a stream knows of a router that subscribes to some services.
-// Changes that do not touch them are not sent; the router hears of their
-// revision with the next change that does, or before the next pong.
-type part struct {
+// filteredStream is the state of a stream to a router that subscribes to some
+// services. Changes that do not affect these are not sent; the router learns
+// their revision with the next change that does, or before the next pong.
+type filteredStream struct {
 	subset table.Subset
-	// taken is the revision of the last change that was looked at, digest that of
-	// the part there.
-	taken  state.Revision
-	digest uint64
+	// processed is the revision after the last change that was processed, sent or
+	// not; digest is the subset's digest at that revision.
+	processed state.Revision
+	digest    uint64
 }
 
-func (p *part) begin(revision state.Revision, digest uint64) {
-	p.taken = revision
-	p.digest = digest
+func (s *filteredStream) reset(revision state.Revision, digest uint64) {
+	s.processed = revision
+	s.digest = digest
 }
 
-// before returns the digest of the part before some changes, given the one at a
-// later revision; changes beyond that revision do not count.
-func (p *part) before(changes []*Change, revision state.Revision, digest uint64) uint64 {
+// digestBefore returns the subset's digest before the changes, given its digest
+// at a later revision. Changes after that revision are ignored.
+func (s *filteredStream) digestBefore(changes []*Change, revision state.Revision, digest uint64) uint64 {
 	for _, change := range changes {
 		if change.Delta.To <= revision {
-			digest ^= p.subset.Digest(change.Differences)
+			digest ^= s.subset.Digest(change.Differences)
 		}
 	}
 	return digest
 }
 
-// take looks at the next change and returns the delta that leads the router on
-// from the revision that was sent last; false if it need not be sent yet.
-func (p *part) take(sent state.Revision, change *Change) (message.TableDelta, bool) {
-	objects := p.subset.Filter(change.Delta.Objects)
-	difference := p.subset.Digest(change.Differences)
-	p.taken = change.Delta.To
-	p.digest ^= difference
-	return p.delta(sent, objects), len(objects) > 0 || difference != 0
+// take processes the next change and returns the delta from the revision that was
+// sent last; false if the delta need not be sent yet.
+func (s *filteredStream) take(sent state.Revision, change *Change) (message.TableDelta, bool) {
+	objects := s.subset.Filter(change.Delta.Objects)
+	difference := s.subset.Digest(change.Differences)
+	s.processed = change.Delta.To
+	s.digest ^= difference
+	return s.delta(sent, objects), len(objects) > 0 || difference != 0
 }
 
-func (p *part) delta(sent state.Revision, objects []state.Object) message.TableDelta {
-	return message.TableDelta{From: sent, To: p.taken, Objects: objects, Digest: p.digest}
+func (s *filteredStream) delta(sent state.Revision, objects []state.Object) message.TableDelta {
+	return message.TableDelta{From: sent, To: s.processed, Objects: objects, Digest: s.digest}
 }
 
-// Subscribe decides, as Begin does, what the router holds already of the part of
-// the table that it subscribes to.
+// Subscribe does what Begin does for the subset of the table that the router
+// subscribes to.
 func Subscribe(hello message.RouterHello, newest Table, history *History) Position {
 	subset := table.NewSubset(hello.Services)
 	if subset.Whole() {
@@ -57,47 +57,48 @@
 	}
 	newest.Digest = subset.Digest(newest.Sections)
 	position := Begin(hello, newest)
-	position.part = &part{subset: subset}
-	if !position.whole {
-		position.beginPart(hello, newest, history)
+	position.filtered = &filteredStream{subset: subset}
+	if !position.needsSnapshot {
+		position.beginFiltered(hello, newest, history)
 	}
 	return position
 }
 
-// beginPart computes the part's digest at the router's revision back from the newest one. A router
-// whose part differs from it gets a whole one.
-func (p *Position) beginPart(hello message.RouterHello, newest Table, history *History) {
+// beginFiltered computes the subset's digest at the router's revision, backwards
+// from the newest one. A router whose digest differs needs a snapshot.
+func (p *Position) beginFiltered(hello message.RouterHello, newest Table, history *History) {
 	changes, _, reached := history.After(hello.Revision)
-	digest := p.part.before(changes, newest.Revision, newest.Digest)
-	p.whole = !reached || digest != hello.Digest
-	p.part.begin(hello.Revision, digest)
+	digest := p.filtered.digestBefore(changes, newest.Revision, newest.Digest)
+	p.needsSnapshot = !reached || digest != hello.Digest
+	p.filtered.reset(hello.Revision, digest)
 }
 
-// Subset returns the part of the table that the router subscribes to.
+// Subset returns the subset of the table that the router subscribes to.
 func (p *Position) Subset() table.Subset {
-	if p.part == nil {
+	if p.filtered == nil {
 		return table.Subset{}
 	}
-	return p.part.subset
+	return p.filtered.subset
 }
 
-// taken returns the revision from which the history leads on.
-func (p *Position) taken() state.Revision {
-	if p.part == nil {
+// processedRevision returns the revision from which the next changes are due.
+func (p *Position) processedRevision() state.Revision {
+	if p.filtered == nil {
 		return p.sent
 	}
-	return p.part.taken
+	return p.filtered.processed
 }
 
-// Take looks at the next change, and returns the frame to send; false if none
-// need be sent yet. A stream whose frame cannot be sent must end.
+// Take processes the next change and returns the frame to send; false if none
+// need be sent yet. The position counts the frame as sent, so a stream that fails
+// to send it must be closed.
 func (p *Position) Take(change *Change) (wire.Frame, bool, error) {
-	if p.part == nil {
+	if p.filtered == nil {
 		p.SentChange(change)
 		frame, err := change.Encoded()
 		return frame, true, err
 	}
-	delta, due := p.part.take(p.sent, change)
+	delta, due := p.filtered.take(p.sent, change)
 	if !due {
 		return wire.Frame{}, false, nil
 	}
@@ -106,22 +107,22 @@
 	return frame, true, err
 }
 
-// CatchUp returns the delta that tells the router of changes that did not touch
-// its part; false if there are none. It must go before a pong, which proves
-// nothing to a router whose revision is lower.
+// CatchUp returns a delta without objects that moves the router to the revision of
+// changes outside its subset; false if there are none. It must be sent before a
+// pong, which confirms nothing to a router whose revision is lower.
 func (p *Position) CatchUp() (message.TableDelta, bool) {
-	if p.taken() == p.sent {
+	if p.processedRevision() == p.sent {
 		return message.TableDelta{}, false
 	}
-	delta := p.part.delta(p.sent, nil)
+	delta := p.filtered.delta(p.sent, nil)
 	p.sent = delta.To
 	return delta, true
 }
 
-// SentTable notes that the router's part of a whole table was sent.
+// SentTable records that the router's subset of a snapshot was sent.
 func (p *Position) SentTable(sent Table) {
 	p.SentWhole(sent.Revision)
-	if p.part != nil {
-		p.part.begin(sent.Revision, p.part.subset.Digest(sent.Sections))
+	if p.filtered != nil {
+		p.filtered.reset(sent.Revision, p.filtered.subset.Digest(sent.Sections))
 	}
 }
--- a/internal/tablestream/position.go
+++ b/internal/tablestream/position.go
@@ -5,78 +5,82 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
-// Table names the table that a leader holds.
+// Table identifies the routing table that the leader holds.
 type Table struct {
 	Cluster  message.ClusterID
 	Revision state.Revision
 	Digest   uint64
-	// Sections holds the digest of each section, for streams of a part.
+	// Sections holds the digest of each section, for routers with a subset.
 	Sections state.SectionDigests
 }
 
-// Position is how far one router's stream has come. One goroutine uses it.
+// Position tracks the progress of the stream to one router. It is not safe for
+// concurrent use.
 type Position struct {
-	// whole is true while the router needs a whole table, whatever the history
+	// needsSnapshot is true while the router needs a snapshot, whatever the history
 	// holds.
-	whole bool
-	// held is the revision of the table that the router came with.
-	held state.Revision
-	// sent is the revision of the last frame.
+	needsSnapshot bool
+	// heldRevision is the revision of the table that the router reported when it
+	// connected; 0 if that is another cluster's table.
+	heldRevision state.Revision
+	// sent is the revision after the last frame.
 	sent state.Revision
-	// part is nil for a router that subscribes to the whole table.
-	part *part
+	// filtered is nil for a router that subscribes to the whole table.
+	filtered *filteredStream
 }
 
-// Begin decides what the router holds already. A router starts anew that holds
-// nothing, another cluster's table, one that is ahead of the leader's, or one
-// whose digest differs at the same revision. Changes alone would not do even
-// where the history begins at revision zero: only a snapshot names the cluster,
-// and a router that holds a table refuses to go back.
+// Begin returns the start of the stream to a router, given the table that the
+// router reports. A router needs a snapshot if it holds nothing, another cluster's
+// table, one ahead of the leader's or one whose digest differs at the same
+// revision, or if it asks for one. Changes alone would not be enough even if the
+// history begins at revision zero: only a snapshot names the cluster, and a router
+// that holds a table refuses to go back to a lower revision.
 func Begin(hello message.RouterHello, table Table) Position {
 	var position Position
 	if hello.Cluster == table.Cluster {
-		position.held = hello.Revision
+		position.heldRevision = hello.Revision
 	}
 	switch {
 	case hello.Cluster != table.Cluster, hello.Revision == 0, hello.Revision > table.Revision, hello.Resync:
-		position.whole = true
+		position.needsSnapshot = true
 	case hello.Revision == table.Revision && hello.Digest != table.Digest:
-		position.whole = true
+		position.needsSnapshot = true
 	default:
 		position.sent = hello.Revision
 	}
 	return position
 }
 
-// Sent returns the revision of the last frame, or of the table that the router
-// came with and need not get again.
+// Sent returns the revision after the last frame, or that of the table that the
+// router already holds and need not get again.
 func (p *Position) Sent() state.Revision { return p.sent }
 
-// AtLeast returns the lowest revision of a whole table that the router takes.
-func (p *Position) AtLeast() state.Revision { return max(p.held, p.taken()) }
+// AtLeast returns the lowest revision of a snapshot that the router accepts.
+func (p *Position) AtLeast() state.Revision { return max(p.heldRevision, p.processedRevision()) }
 
 // Next returns the changes to send, in order, and a channel that is closed at
-// the next change; or false if the router needs a whole table first.
+// the next change; or false if the router needs a snapshot first.
 func (p *Position) Next(history *History) ([]*Change, <-chan struct{}, bool) {
-	changes, changed, reached := history.After(p.taken())
-	if p.whole || !reached {
+	changes, changed, reached := history.After(p.processedRevision())
+	if p.needsSnapshot || !reached {
 		return nil, changed, false
 	}
 	return changes, changed, true
 }
 
-// SentChange notes that a change was sent to a router of the whole table.
+// SentChange records that a change was sent to a router that subscribes to the
+// whole table.
 func (p *Position) SentChange(change *Change) { p.sent = change.Delta.To }
 
-// SentWhole notes that a whole table was sent. It may be an older one, which
-// changes follow.
+// SentWhole records that a snapshot was sent. It may be older than the leader's
+// table; the changes since then follow.
 func (p *Position) SentWhole(revision state.Revision) {
 	p.sent = revision
-	p.whole = false
+	p.needsSnapshot = false
 }
 
-// Parts divides a whole table into snapshots of at most size objects each, and
-// of one object if size is below that.
+// Parts divides a table into snapshot parts of at most size objects each; a size
+// below 1 counts as 1. An empty table is one part.
 func Parts(table Table, objects []state.Object, size int) []message.TableSnapshot {
 	size = max(size, 1)
 	var parts []message.TableSnapshot
--- a/internal/tablestream/tablestream_test.go
+++ b/internal/tablestream/tablestream_test.go
@@ -7,8 +7,8 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
-// grow lets routers join, one revision each.
-func grow(t *testing.T, history *History, to *state.State, count uint64) {
+// addRouters adds routers to the state, at one revision each.
+func addRouters(t *testing.T, history *History, to *state.State, count uint64) {
 	t.Helper()
 	for range count {
 		index := uint64(to.Revision()) + 1
@@ -19,16 +19,17 @@
 	}
 }
 
-// TestBegin shows what a router gets by what it says it holds.
+// TestBegin checks whether a router gets a snapshot or changes, depending on the
+// table that it reports.
 func TestBegin(t *testing.T) {
-	held := state.New()
+	leaderState := state.New()
 	history := NewHistory(10, 0)
-	grow(t, history, held, 5)
-	table := Table{Cluster: "c", Revision: held.Revision(), Digest: held.Digest()}
+	addRouters(t, history, leaderState, 5)
+	table := Table{Cluster: "c", Revision: leaderState.Revision(), Digest: leaderState.Digest()}
 	revision, digest := table.Revision, table.Digest
 	for name, c := range map[string]struct {
-		hello message.RouterHello
-		whole bool
+		hello         message.RouterHello
+		needsSnapshot bool
 	}{
 		"a damaged one":               {message.RouterHello{Cluster: "c", Revision: revision, Digest: digest, Resync: true}, true},
 		"nothing":                     {message.RouterHello{Cluster: "c"}, true},
@@ -40,34 +41,35 @@
 	} {
 		position := Begin(c.hello, table)
 		changes, _, reached := position.Next(history)
-		if position.whole != c.whole || reached == c.whole || (!c.whole && position.Sent() != c.hello.Revision) {
-			t.Errorf("%s: whole %v, reached %v from %d", name, position.whole, reached, position.Sent())
+		if position.needsSnapshot != c.needsSnapshot || reached == c.needsSnapshot || (!c.needsSnapshot && position.Sent() != c.hello.Revision) {
+			t.Errorf("%s: needs snapshot %v, reached %v from %d", name, position.needsSnapshot, reached, position.Sent())
 		}
-		if !c.whole && len(changes) != int(revision-c.hello.Revision) {
+		if !c.needsSnapshot && len(changes) != int(revision-c.hello.Revision) {
 			t.Errorf("%s: %d changes", name, len(changes))
 		}
 	}
 }
 
-// TestHistoryIsBounded: changes lead on without a gap as far back as the history
-// reaches, a router from before that needs a whole table, also one that is older
-// than the newest, and a reset leaves nothing.
+// TestHistoryIsBounded checks that the history has no gap as far back as it
+// reaches, that a router at an older revision needs a snapshot, that changes
+// follow a snapshot older than the newest table, and that a reset discards all
+// changes.
 func TestHistoryIsBounded(t *testing.T) {
 	const limit = 4
-	held := state.New()
+	leaderState := state.New()
 	history := NewHistory(limit, 0)
 	_, changed, _ := history.After(0)
-	grow(t, history, held, limit+1)
+	addRouters(t, history, leaderState, limit+1)
 	select {
 	case <-changed:
 	default:
-		t.Error("a change was not signalled")
+		t.Error("the channel was not closed at a change")
 	}
-	oldest := held.Revision() - limit/2
+	oldest := leaderState.Revision() - limit/2
 	if history.Reaches(oldest - 1) {
 		t.Error("the history reaches back beyond its limit")
 	}
-	position := Begin(message.RouterHello{}, Table{Cluster: "c", Revision: held.Revision()})
+	position := Begin(message.RouterHello{}, Table{Cluster: "c", Revision: leaderState.Revision()})
 	position.SentWhole(oldest)
 	changes, _, reached := position.Next(history)
 	if !reached || len(changes) != limit/2 {
@@ -79,17 +81,17 @@
 		}
 		position.SentChange(change)
 	}
-	if position.Sent() != held.Revision() || position.AtLeast() != held.Revision() {
-		t.Errorf("sent up to %d of %d", position.Sent(), held.Revision())
+	if position.Sent() != leaderState.Revision() || position.AtLeast() != leaderState.Revision() {
+		t.Errorf("sent up to %d of %d", position.Sent(), leaderState.Revision())
 	}
-	history.Reset(held.Revision())
-	if history.Reaches(held.Revision()-1) || !history.Reaches(held.Revision()) {
+	history.Reset(leaderState.Revision())
+	if history.Reaches(leaderState.Revision()-1) || !history.Reaches(leaderState.Revision()) {
 		t.Error("after a reset the history reaches back")
 	}
 }
 
-// TestParts: the parts hold every object once, the ends are marked, and an empty
-// table is one part.
+// TestParts checks that the parts hold every object once, that the first and last
+// part are marked, and that an empty table is one part.
 func TestParts(t *testing.T) {
 	if parts := Parts(Table{}, make([]state.Object, 2), 0); len(parts) != 2 {
 		t.Errorf("%d parts without a size", len(parts))
