--- a/internal/lab/sim/router.go
+++ b/internal/lab/sim/router.go
@@ -135,7 +135,7 @@
 	}
 	r.sim.trace("%s fetches the table anew: %v", r.node, err)
 	r.sim.counts.Resyncs++
-	if table.NeedsWhole(err) {
+	if table.NeedsSnapshot(err) {
 		r.resync = true
 	}
 	r.disconnect("")
--- a/internal/router/subscription.go
+++ b/internal/router/subscription.go
@@ -337,7 +337,7 @@
 
 // checked asks for a whole snapshot after a message that did not fit the table.
 func (s *subscription) checked(err error) error {
-	if table.NeedsWhole(err) {
+	if table.NeedsSnapshot(err) {
 		s.resync = true
 		telemetry.WithError(s.log, telemetry.EventTableDigest, err).Warn("routing table is fetched anew")
 	}
--- a/internal/table/builder.go
+++ b/internal/table/builder.go
@@ -29,8 +29,8 @@
 	ErrEntryBounds = eris.New("routing table cannot hold the shard")
 )
 
-// NeedsWhole reports whether recovery from the error takes a complete snapshot.
-func NeedsWhole(err error) bool {
+// NeedsSnapshot reports whether recovery from the error takes a complete snapshot.
+func NeedsSnapshot(err error) bool {
 	return eris.Is(err, ErrDigestMismatch) || eris.Is(err, ErrGap) || eris.Is(err, ErrPartOrder) || eris.Is(err, ErrEntryBounds)
 }
 
--- a/internal/tablestream/part_test.go
+++ b/internal/tablestream/part_test.go
@@ -60,7 +60,7 @@
 	for missed := -1; missed < len(deltas)-1; missed++ {
 		for _, emptied := range []bool{false, true} {
 			err := applyDeltas(t, snapshot, deltas, missed, emptied)
-			if (missed < 0) != (err == nil) || (err != nil && !table.NeedsWhole(err)) {
+			if (missed < 0) != (err == nil) || (err != nil && !table.NeedsSnapshot(err)) {
 				t.Errorf("delta %d missed, emptied %v: %v", missed, emptied, err)
 			}
 		}
