--- a/internal/controller/stream.go
+++ b/internal/controller/stream.go
@@ -270,7 +270,7 @@
 }
 
 func (s *tableStream) writeWhole(ctx context.Context) error {
-	whole := s.replica.whole.get(s.replica, s.position.AtLeast())
+	whole := s.replica.whole.get(s.replica, s.position.MinSnapshotRevision())
 	send := func(frame wire.Frame) error { return s.connection.SendFrame(ctx, frame) }
 	if err := whole.send(s.position.Subset(), s.replica.settings.Table.SnapshotObjects, send); err != nil {
 		return err
--- a/internal/tablestream/position.go
+++ b/internal/tablestream/position.go
@@ -55,8 +55,10 @@
 // router already holds and need not get again.
 func (p *Position) Sent() state.Revision { return p.sent }
 
-// AtLeast returns the lowest revision of a snapshot that the router accepts.
-func (p *Position) AtLeast() state.Revision { return max(p.heldRevision, p.processedRevision()) }
+// MinSnapshotRevision returns the lowest revision of a snapshot that the router accepts.
+func (p *Position) MinSnapshotRevision() state.Revision {
+	return max(p.heldRevision, p.processedRevision())
+}
 
 // Next returns the changes to send, in order, and a channel that is closed at
 // the next change; or false if the router needs a snapshot first.
--- a/internal/tablestream/tablestream_test.go
+++ b/internal/tablestream/tablestream_test.go
@@ -81,7 +81,7 @@
 		}
 		position.SentChange(change)
 	}
-	if position.Sent() != leaderState.Revision() || position.AtLeast() != leaderState.Revision() {
+	if position.Sent() != leaderState.Revision() || position.MinSnapshotRevision() != leaderState.Revision() {
 		t.Errorf("sent up to %d of %d", position.Sent(), leaderState.Revision())
 	}
 	history.Reset(leaderState.Revision())
