--- a/internal/lab/sim/stream.go
+++ b/internal/lab/sim/stream.go
@@ -111,7 +111,7 @@
 	for _, part := range tablestream.Parts(table, r.state.Objects(), r.sim.settings.Table.SnapshotObjects) {
 		to.connection.toRouter(message.ControllerFrame{Snapshot: &part})
 	}
-	to.position.SentWhole(table.Revision)
+	to.position.SentSnapshot(table.Revision)
 }
 
 func (r *replica) closeStreams() {
--- a/internal/tablestream/part.go
+++ b/internal/tablestream/part.go
@@ -121,7 +121,7 @@
 
 // SentTable records that the router's subset of a snapshot was sent.
 func (p *Position) SentTable(sent Table) {
-	p.SentWhole(sent.Revision)
+	p.SentSnapshot(sent.Revision)
 	if p.filtered != nil {
 		p.filtered.reset(sent.Revision, p.filtered.subset.Digest(sent.Sections))
 	}
--- a/internal/tablestream/position.go
+++ b/internal/tablestream/position.go
@@ -74,9 +74,9 @@
 // whole table.
 func (p *Position) SentChange(change *Change) { p.sent = change.Delta.To }
 
-// SentWhole records that a snapshot was sent. It may be older than the leader's
+// SentSnapshot records that a snapshot was sent. It may be older than the leader's
 // table; the changes since then follow.
-func (p *Position) SentWhole(revision state.Revision) {
+func (p *Position) SentSnapshot(revision state.Revision) {
 	p.sent = revision
 	p.needsSnapshot = false
 }
--- a/internal/tablestream/tablestream_test.go
+++ b/internal/tablestream/tablestream_test.go
@@ -70,7 +70,7 @@
 		t.Error("the history reaches back beyond its limit")
 	}
 	position := Begin(message.RouterHello{}, Table{Cluster: "c", Revision: leaderState.Revision()})
-	position.SentWhole(oldest)
+	position.SentSnapshot(oldest)
 	changes, _, reached := position.Next(history)
 	if !reached || len(changes) != limit/2 {
 		t.Fatalf("%d changes, reached %v", len(changes), reached)
