--- a/internal/controller/stream.go
+++ b/internal/controller/stream.go
@@ -266,7 +266,7 @@
 }
 
 func (s *tableStream) writeFullTable(ctx context.Context) error {
-	encoded := s.replica.fullTable.get(s.replica, s.position.AtLeast())
+	encoded := s.replica.fullTable.get(s.replica, s.position.MinSnapshotRevision())
 	send := func(frame wire.Frame) error { return s.connection.SendFrame(ctx, frame) }
 	if err := encoded.send(s.position.Subset(), s.replica.settings.Table.SnapshotObjects, send); err != nil {
 		return err
--- a/internal/router/subscription.go
+++ b/internal/router/subscription.go
@@ -344,7 +344,7 @@
 // checkTable returns err. If only a full table can resolve it, the next connection requests
 // a full snapshot.
 func (s *subscription) checkTable(err error) error {
-	if table.NeedsWhole(err) {
+	if table.NeedsSnapshot(err) {
 		s.resync = true
 		telemetry.WithError(s.log, telemetry.EventTableDigest, err).Warn("routing table update does not apply; requesting a full snapshot")
 	}
