--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -10,13 +10,13 @@
 	"github.com/rotisserie/eris"
 )
 
-// faults are planted in the test's driver to prove that the checker can fail.
+// faults are bugs injected into the test's driver, to prove that the checker detects them.
 type faults struct {
 	// skipEntries acknowledges entries that were never persisted.
 	skipEntries bool
 	// skipVote forgets the vote at a crash.
 	skipVote bool
-	// localReads takes the commit index without a quorum round.
+	// localReads confirms reads at the leader's commit index without a quorum round.
 	localReads bool
 }
 
@@ -38,7 +38,7 @@
 	network  []Message
 	cut      map[[2]ReplicaID]bool
 	faults   faults
-	// crashAt, when set, tells before each step of a Ready whether to crash.
+	// crashAt, when set, is called at each step of a Ready and reports whether the replica crashes there.
 	crashAt func(ReplicaID) bool
 	output  strings.Builder
 	checker checker
@@ -56,9 +56,9 @@
 	return c
 }
 
-func (c *cluster) start(id ReplicaID, first SnapshotMetadata) {
+func (c *cluster) start(id ReplicaID, initial SnapshotMetadata) {
 	c.ids = append(c.ids, id)
-	c.replicas[id] = &replica{id: id, snapshot: Snapshot{Metadata: first}}
+	c.replicas[id] = &replica{id: id, snapshot: Snapshot{Metadata: initial}}
 	c.restart(id)
 }
 
@@ -70,11 +70,11 @@
 	r.core, r.err = New(config, initial, func() (Snapshot, bool) { return r.snapshot, r.snapshot.Metadata.Index > 0 })
 	if r.err != nil {
 		r.core = nil
-		c.checker.failf("replica %d does not start: %v", id, r.err)
+		c.checker.failf("replica %d failed to start: %v", id, r.err)
 	}
 }
 
-// run finishes the work that a replica has ready.
+// run processes a replica's Ready batches until none is left.
 func (c *cluster) run(id ReplicaID) {
 	r := c.replicas[id]
 	for r.core != nil && r.core.HasReady() {
@@ -102,14 +102,14 @@
 	}
 }
 
-// persist writes a Ready in the order that its contract states. It returns
-// false when the replica crashes on the way.
+// persist writes a Ready in the order that its contract requires. It returns
+// false when the replica crashes during the write.
 func (c *cluster) persist(r *replica, ready Ready) bool {
 	if ready.HardState != nil {
 		r.hard = *ready.HardState
 	}
 	if c.faults.skipEntries {
-		r.hard.Commit = 0 // or New would notice the loss
+		r.hard.Commit = 0 // otherwise New detects the lost entries
 	}
 	if c.faults.skipVote {
 		r.hard.Vote = 0
@@ -148,7 +148,7 @@
 	return r.core.Compact(status.Applied)
 }
 
-// receive steps one message into its receiver.
+// receive passes one message to its receiver, unless that is crashed or cut off.
 func (c *cluster) receive(message Message) {
 	r, found := c.replicas[message.To]
 	if !found || r.core == nil || c.cut[[2]ReplicaID{message.From, message.To}] {
@@ -156,16 +156,16 @@
 	}
 	err := r.core.Step(message)
 	if c.faults.skipEntries && eris.Is(err, ErrLogLost) {
-		return // the checker must find the loss by itself
+		return // the checker must detect the loss without the core's help
 	}
 	if err != nil && !eris.Is(err, ErrReadQueueFull) {
-		c.checker.failf("replica %d refuses a message: %v", r.id, err)
+		c.checker.failf("replica %d rejected a message: %v", r.id, err)
 	}
 	c.checker.observe(r)
 	c.run(r.id)
 }
 
-// deliver runs the network in order until it is quiet.
+// deliver delivers messages in order until none is in flight, 10000 at most.
 func (c *cluster) deliver() {
 	c.deliverSome(10000)
 }
@@ -184,15 +184,15 @@
 	}
 }
 
-// checker holds what was seen in all replicas and the first violation.
+// checker records what it observed on all replicas and the first violation.
 type checker struct {
 	violation string
 	leaders   map[uint64]ReplicaID
-	// positions maps index and term to the entry and the term before it.
+	// positions maps an index and term to the entry and its predecessor's term.
 	positions map[[2]uint64]string
 	committed map[uint64]committedEntry
 	maxCommit uint64
-	// reads maps a read's context to the highest commit index at its call.
+	// reads maps a read's context to the highest commit index when it was requested.
 	reads         map[uint64]uint64
 	confirmations int
 }
@@ -200,8 +200,8 @@
 type committedEntry struct {
 	content string
 	term    uint64
-	// seenIn is the term of the replica that applied the entry first.
-	seenIn uint64
+	// appliedInTerm is the term of the first replica that applied the entry, at that time.
+	appliedInTerm uint64
 }
 
 func newChecker() checker {
@@ -221,8 +221,8 @@
 	return fmt.Sprintf("%d %d %x", entry.Term, entry.Kind, entry.Data)
 }
 
-// persisted checks log matching: an index and term name one entry after one
-// predecessor, in every log.
+// persisted checks the log matching property: in every log, an index and term
+// identify the same entry with the same predecessor.
 func (k *checker) persisted(r *replica) {
 	previous := r.snapshot.Metadata.Term
 	for _, entry := range r.entries {
@@ -236,19 +236,19 @@
 	}
 }
 
-// applied checks that an index is committed with one content for ever.
+// applied checks state machine safety: no two replicas apply different entries at an index.
 func (k *checker) applied(r *replica, entry Entry) {
 	known, found := k.committed[entry.Index]
 	if found && known.content != content(entry) {
-		k.failf("replica %d commits another entry at index %d", r.id, entry.Index)
+		k.failf("replica %d committed a different entry at index %d", r.id, entry.Index)
 	}
 	if !found {
-		k.committed[entry.Index] = committedEntry{content: content(entry), term: entry.Term, seenIn: r.core.term}
+		k.committed[entry.Index] = committedEntry{content: content(entry), term: entry.Term, appliedInTerm: r.core.term}
 	}
 }
 
-// observe checks one leader a term and that a leader holds all that was
-// committed in earlier terms.
+// observe checks that a term has at most one leader, and that a leader holds
+// every entry that was committed in earlier terms.
 func (k *checker) observe(r *replica) {
 	k.maxCommit = max(k.maxCommit, r.core.log.committed)
 	if r.core.role != RoleLeader {
@@ -256,7 +256,7 @@
 	}
 	leader, found := k.leaders[r.core.term]
 	if found && leader != r.id {
-		k.failf("term %d has the leaders %d and %d", r.core.term, leader, r.id)
+		k.failf("term %d has two leaders, %d and %d", r.core.term, leader, r.id)
 	}
 	if found {
 		return
@@ -264,16 +264,16 @@
 	k.leaders[r.core.term] = r.id
 	for index, entry := range k.committed {
 		lacks := index > r.core.log.snapshotIndex && !r.core.log.matches(index, entry.term)
-		if entry.seenIn < r.core.term && lacks {
-			k.failf("leader %d of term %d lacks the committed index %d", r.id, r.core.term, index)
+		if entry.appliedInTerm < r.core.term && lacks {
+			k.failf("leader %d of term %d lacks the committed entry at index %d", r.id, r.core.term, index)
 		}
 	}
 }
 
 func (k *checker) confirmed(read ReadState) {
 	k.confirmations++
-	if least := k.reads[read.Context]; read.Index < least {
-		k.failf("read %d got index %d below the commit index %d at its call", read.Context, read.Index, least)
+	if minimum := k.reads[read.Context]; read.Index < minimum {
+		k.failf("read %d got index %d, below the commit index %d when it was requested", read.Context, read.Index, minimum)
 	}
 }
 
--- a/internal/consensus/config.go
+++ b/internal/consensus/config.go
@@ -28,7 +28,7 @@
 	return nil
 }
 
-// validate checks that the recovered state is one that a replica can reach.
+// validate checks that the recovered state is consistent.
 func (initial InitialState) validate() error {
 	if err := validateMembership(initial.Snapshot.Membership); err != nil {
 		return err
--- a/internal/consensus/core.go
+++ b/internal/consensus/core.go
@@ -21,39 +21,41 @@
 	leader ReplicaID
 	log    *replicatedLog
 
-	// membership is the membership in force, the newest in the log whether or
-	// not it is committed, sorted by identifier. voters are those of it.
+	// membership is the effective membership: the newest in the log, committed or
+	// not, sorted by identifier. voters are its voting members.
 	membership Membership
 	voters     []ReplicaID
 	// appliedMembership is the membership as of log.applied. While it differs
-	// from membership, a change waits to be committed or applied.
+	// from membership, a change is not committed or not applied yet.
 	appliedMembership Membership
-	// receivers are the members of both, to which a leader sends the log, sorted.
+	// receivers are the members of either membership, sorted: those that a leader
+	// sends the log to.
 	receivers []ReplicaID
-	// firstMembership is the membership at index 0. It is in no log entry, so
-	// the leader attaches it to appends that start at index 0.
-	firstMembership Membership
+	// initialMembership is the membership at index 0. No log entry
+	// holds it, so the leader attaches it to appends that start at index 0.
+	initialMembership Membership
 
 	electionElapsed  int
 	heartbeatElapsed int
 	electionTimeout  int
 
-	// votes holds the answers of the present campaign.
+	// votes holds the voters' answers to the current campaign.
 	votes map[ReplicaID]bool
-	// quietTicks, campaignQuiet and electionQuiet bound when earlier leaders were
-	// acknowledged: on this replica, by the votes of the present campaign, and by
-	// those that made it the leader. See quiet.go.
+	// quietTicks, campaignQuiet and electionQuiet bound how recently an earlier
+	// leader was acknowledged: by this replica, by the voters of the current
+	// campaign, and by the voters that elected this leader. See quiet.go.
 	quietTicks    int
 	campaignQuiet time.Duration
 	electionQuiet time.Duration
-	// ownVoteTerm is the term of the own vote that waits to be persisted.
+	// ownVoteTerm is the term of this replica's vote for itself while that is not
+	// persisted yet, else 0.
 	ownVoteTerm uint64
 
 	// The fields below are used by the leader only.
 	progress         map[ReplicaID]*progress
 	uncommittedBytes int
-	// pendingMembership is the last index that may hold a change: no further
-	// change is proposed until it is applied.
+	// pendingMembership is the last index that may hold a membership change. No
+	// further change is proposed until that index is applied.
 	pendingMembership uint64
 	transferee        ReplicaID
 	transferElapsed   int
@@ -62,11 +64,11 @@
 	messages   []Message
 	readStates []ReadState
 	persisted  HardState
-	// outstanding is the Ready that the driver works on.
+	// outstanding is the Ready that the driver is processing, or nil.
 	outstanding *outstandingReady
 }
 
-// New builds a core from its configuration and the recovered state. The error
+// New returns a core with the given configuration and recovered state. The error
 // wraps ErrInvalidConfig, ErrInvalidState or ErrLogLost and names the field.
 func New(config Config, initial InitialState, snapshots SnapshotSource) (*Core, error) {
 	if err := config.validate(); err != nil {
@@ -81,19 +83,19 @@
 	core := &Core{
 		config:   config,
 		snapshot: snapshots,
-		random:   rand.New(rand.NewPCG(config.Seed, uint64(config.ID))), //nolint:gosec // spreads election timeouts; must replay from the seed
+		random:   rand.New(rand.NewPCG(config.Seed, uint64(config.ID))), //nolint:gosec // randomises election timeouts only; runs must be reproducible from the seed
 		term:     initial.HardState.Term,
 		vote:     initial.HardState.Vote,
 		log:      newLog(initial),
 	}
 	core.restoreMembership(initial.Snapshot.Membership)
-	core.firstMembership = core.appliedMembership
+	core.initialMembership = core.appliedMembership
 	core.persisted = initial.HardState
 	core.becomeFollower(core.term, 0)
 	return core, nil
 }
 
-// Tick advances the core's time by one tick.
+// Tick advances the core's logical clock by one tick.
 func (c *Core) Tick() {
 	c.electionElapsed++
 	if c.role == RoleLeader {
@@ -129,7 +131,7 @@
 }
 
 // checkQuorum reports whether a quorum of voters was heard from since the last
-// call, and starts the next period.
+// call, and starts the next check period.
 func (c *Core) checkQuorum() bool {
 	active := 0
 	for _, id := range c.voters {
@@ -166,8 +168,8 @@
 	return nil
 }
 
-// appendOwn adds an entry of the leader's term. The leader's own copy counts
-// towards the quorum only once Advance reports it persisted.
+// appendOwn appends an entry of the leader's term to its log. The leader's copy
+// counts towards the quorum only once Advance reports it persisted.
 func (c *Core) appendOwn(kind EntryKind, data []byte) {
 	c.log.append(Entry{Index: c.log.lastIndex() + 1, Term: c.term, Kind: kind, Data: data})
 	c.uncommittedBytes += len(data)
@@ -178,7 +180,7 @@
 
 // Compact drops the log entries up to index. The driver must have saved a
 // snapshot at index or above, and its SnapshotSource must return it from now
-// on. An index that is already compacted is accepted.
+// on. Compacting up to an index that is already compacted has no effect.
 func (c *Core) Compact(index uint64) error {
 	if index <= c.log.snapshotIndex {
 		return nil
@@ -190,7 +192,7 @@
 	return nil
 }
 
-// Status describes the core at this moment.
+// Status returns a snapshot of the core's state.
 func (c *Core) Status() Status {
 	status := Status{
 		ID:                c.config.ID,
@@ -215,27 +217,27 @@
 	return status
 }
 
-// silentElections is how many election timeouts a member is not heard before it
-// counts as silent.
-const silentElections = 2
+// silentElectionTimeouts is the number of election timeouts without a message
+// from a member after which it is reported as silent.
+const silentElectionTimeouts = 2
 
 func (c *Core) progressStatus() []Progress {
 	list := make([]Progress, 0, len(c.membership.Members))
 	for _, member := range c.membership.Members {
-		view := c.progress[member.ID]
+		memberProgress := c.progress[member.ID]
 		list = append(list, Progress{
 			ID:           member.ID,
-			Match:        view.match,
-			Next:         view.next,
-			RecentActive: view.recentActive || member.ID == c.config.ID,
-			Silent:       member.ID != c.config.ID && view.silentTicks >= silentElections*c.config.ElectionTicks,
+			Match:        memberProgress.match,
+			Next:         memberProgress.next,
+			RecentActive: memberProgress.recentActive || member.ID == c.config.ID,
+			Silent:       member.ID != c.config.ID && memberProgress.silentTicks >= silentElectionTimeouts*c.config.ElectionTicks,
 			Learner:      member.Learner,
 		})
 	}
 	return list
 }
 
-// termCommitted reports whether this leader committed an entry of its term.
+// termCommitted reports whether this replica leads and has committed an entry of its term.
 func (c *Core) termCommitted() bool {
 	if c.role != RoleLeader {
 		return false
@@ -244,7 +246,7 @@
 	return term == c.term
 }
 
-// send queues a message. Term is the present one unless the caller set it.
+// send queues a message for the next Ready. A zero Term is set to the current term.
 func (c *Core) send(message Message) {
 	message.From = c.config.ID
 	if message.Term == 0 {
--- a/internal/consensus/doc.go
+++ b/internal/consensus/doc.go
@@ -1,6 +1,6 @@
-// Package consensus is the replicated-log core: leader election with pre-vote
-// and check-quorum, log replication, learners, membership changes one at a
-// time, leadership transfer and quorum-confirmed reads. It follows the Raft
+// Package consensus implements the replicated log: leader election with pre-vote
+// and check-quorum, log replication, learners, single-server
+// membership changes, leadership transfer and quorum-confirmed reads. It follows the Raft
 // algorithm of Ongaro and Ousterhout.
 //
 // The core performs no I/O, reads no clock and starts no goroutine. Its driver
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -1,7 +1,8 @@
 package consensus
 
-// becomeFollower enters a term, or stays in it, as a follower of leader, which
-// may be unknown (0). All state of a leader or candidate is dropped.
+// becomeFollower makes the replica a follower of leader, or of no known leader
+// if that is 0, in the given term, which may be the current one. All state of a
+// leader or candidate is dropped.
 func (c *Core) becomeFollower(term uint64, leader ReplicaID) {
 	if term != c.term {
 		c.term = term
@@ -27,13 +28,14 @@
 	c.electionTimeout = c.config.ElectionTicks + c.random.IntN(c.config.ElectionTicks)
 }
 
-// mayCampaign reports whether this replica may ask for votes. One that knows of a
-// committed membership change applies it first, since it may be its own removal.
+// mayCampaign reports whether this replica may ask for votes. A replica that holds
+// a committed membership change must apply it first, since it may remove the
+// replica itself.
 func (c *Core) mayCampaign() bool {
-	return c.mayLead() && c.log.pendingSnapshot == nil && !c.log.hasUnappliedMembership()
+	return c.mayLead() && c.log.pendingSnapshot == nil && !c.log.hasCommittedMembershipChange()
 }
 
-// startPreVote asks whether an election could be won, without raising the term.
+// startPreVote asks the voters whether they would grant a vote, without raising the term.
 func (c *Core) startPreVote() {
 	if !c.mayCampaign() {
 		return
@@ -47,15 +49,15 @@
 	c.requestVotes(Message{Kind: MessagePreVote, Term: c.term + 1})
 }
 
-// startElection raises the term and asks for votes. The own vote counts after
-// it is persisted, in Advance.
+// startElection raises the term and asks for votes. The candidate's vote for
+// itself counts only once it is persisted, in Advance.
 func (c *Core) startElection(transfer bool) {
 	if !c.mayCampaign() {
 		return
 	}
 	c.becomeFollower(c.term+1, 0)
 	c.role = RoleCandidate
-	c.campaignQuiet = c.quiet()
+	c.campaignQuiet = c.quietTime()
 	c.vote = c.config.ID
 	c.ownVoteTerm = c.term
 	c.votes = map[ReplicaID]bool{}
@@ -74,20 +76,21 @@
 	}
 }
 
-// handleVoteRequest answers a vote or pre-vote. A replica that believes itself
-// a learner answers too: a candidate asks only voters, so the candidate's newer
-// membership holds a promotion that this replica does not hold yet.
+// handleVoteRequest answers a vote or pre-vote request. A replica that is a
+// learner by its own log answers too: a candidate asks only voters, so the
+// candidate's membership is newer and includes a promotion that this replica's
+// log lacks.
 func (c *Core) handleVoteRequest(request Message) {
 	answer := Message{Kind: MessageVoteAnswer, To: request.From}
 	preVote := request.Kind == MessagePreVote
 	if preVote {
 		answer.Kind = MessagePreVoteAnswer
 	}
-	free := c.vote == request.From || (c.vote == 0 && c.leader == 0)
+	mayGrant := c.vote == request.From || (c.vote == 0 && c.leader == 0)
 	if preVote {
-		free = request.Term > c.term
+		mayGrant = request.Term > c.term
 	}
-	if !free || !c.log.isUpToDate(request.Index, request.LogTerm) {
+	if !mayGrant || !c.log.isUpToDate(request.Index, request.LogTerm) {
 		answer.Reject = true
 		c.send(answer)
 		return
@@ -96,7 +99,7 @@
 		answer.Term = request.Term
 	} else {
 		c.vote = request.From
-		answer.Quiet = c.quiet()
+		answer.Quiet = c.quietTime()
 		c.resetElectionTimer()
 	}
 	c.send(answer)
@@ -107,13 +110,13 @@
 		return
 	}
 	if _, answered := c.votes[answer.From]; !answered {
-		c.countAnswer(answer)
+		c.recordVote(answer)
 	}
 	c.countVotes()
 }
 
-// countAnswer notes the first answer of a voter.
-func (c *Core) countAnswer(answer Message) {
+// recordVote records a voter's first answer; later ones are duplicates.
+func (c *Core) recordVote(answer Message) {
 	c.votes[answer.From] = !answer.Reject
 	if !answer.Reject && c.role == RoleCandidate {
 		c.campaignQuiet = min(c.campaignQuiet, answer.Quiet)
@@ -130,8 +133,8 @@
 	return c.role == RolePreCandidate && answer.Term == c.term+1
 }
 
-// countVotes moves on when the campaign is won or lost. It returns true when it
-// did.
+// countVotes ends the campaign, or its pre-vote phase, once it is won or lost.
+// It reports whether it did.
 func (c *Core) countVotes() bool {
 	granted, refused := 0, 0
 	for _, id := range c.voters {
@@ -156,8 +159,8 @@
 	return true
 }
 
-// becomeLeader starts leading the present term with an empty entry, whose
-// commit also commits all entries of earlier terms.
+// becomeLeader makes the replica the leader of the current term. It appends an
+// empty entry, since committing that also commits all entries of earlier terms.
 func (c *Core) becomeLeader() {
 	c.becomeFollower(c.term, c.config.ID)
 	c.role = RoleLeader
@@ -174,7 +177,7 @@
 	c.broadcastAppend()
 }
 
-// confirmOwnVote counts the own vote, which is persisted now.
+// confirmOwnVote counts the candidate's vote for itself, which is now persisted.
 func (c *Core) confirmOwnVote(term uint64) {
 	if c.role != RoleCandidate || c.term != term {
 		return
--- a/internal/consensus/follower.go
+++ b/internal/consensus/follower.go
@@ -6,7 +6,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// handleFromLeader takes a message of the leader of the present term.
+// handleFromLeader handles a message from the leader of the current term.
 func (c *Core) handleFromLeader(message Message) error {
 	if c.role == RoleLeader {
 		return eris.Wrapf(ErrInvalidMessage, "replica %d also claims to lead term %d", message.From, message.Term)
@@ -29,7 +29,7 @@
 
 func (c *Core) handleHeartbeat(message Message) error {
 	if message.Commit > c.log.lastIndex() {
-		return eris.Wrapf(ErrLogLost, "the leader counts index %d as persisted here, the last index is %d",
+		return eris.Wrapf(ErrLogLost, "the leader recorded index %d as persisted on this replica, whose last index is %d",
 			message.Commit, c.log.lastIndex())
 	}
 	c.commitTo(message.Commit)
@@ -38,7 +38,7 @@
 }
 
 func (c *Core) handleAppend(message Message) error {
-	c.adoptFirstMembership(message)
+	c.adoptInitialMembership(message)
 	if message.Index < c.log.committed {
 		c.acceptAppend(message.From, c.log.committed)
 		return nil
@@ -47,12 +47,12 @@
 		c.rejectAppend(message)
 		return nil
 	}
-	held := c.holdsMembershipChange()
+	hadMembershipChange := c.hasUnappliedMembershipChange()
 	if !c.log.merge(message.Entries) {
-		return eris.Wrapf(ErrLogLost, "the leader's entries after index %d contradict the commit index %d",
+		return eris.Wrapf(ErrLogLost, "the leader's entries after index %d conflict with entries committed here up to index %d",
 			message.Index, c.log.committed)
 	}
-	if held || slices.ContainsFunc(message.Entries, isMembershipChange) {
+	if hadMembershipChange || slices.ContainsFunc(message.Entries, isMembershipChange) {
 		c.refreshMembership()
 	}
 	last := message.Index + uint64(len(message.Entries))
@@ -61,9 +61,9 @@
 	return nil
 }
 
-// adoptFirstMembership gives a joining replica the membership at index 0, which
-// no log entry holds. It is persisted as a snapshot at index 0 without data.
-func (c *Core) adoptFirstMembership(message Message) {
+// adoptInitialMembership takes the membership at index 0, which no log entry
+// holds, from the first append to a joining replica. It is persisted as a snapshot at index 0 without data.
+func (c *Core) adoptInitialMembership(message Message) {
 	joining := len(c.membership.Members) == 0 && c.log.lastIndex() == 0
 	if !joining || message.Index != 0 || message.Snapshot == nil {
 		return
@@ -74,7 +74,7 @@
 	metadata := SnapshotMetadata{Membership: message.Snapshot.Metadata.Membership}
 	c.log.restore(&Snapshot{Metadata: metadata})
 	c.restoreMembership(metadata.Membership)
-	c.firstMembership = c.appliedMembership
+	c.initialMembership = c.appliedMembership
 }
 
 func (c *Core) acceptAppend(leader ReplicaID, index uint64) {
@@ -82,7 +82,8 @@
 }
 
 // rejectAppend tells the leader the highest position that could match: terms
-// never fall along a log, so positions above the leader's term cannot.
+// never decrease along a log, so entries with a term above message.LogTerm
+// cannot match.
 func (c *Core) rejectAppend(message Message) {
 	hint, hintTerm := c.log.conflictByTerm(min(message.Index, c.log.lastIndex()), message.LogTerm)
 	c.send(Message{
@@ -91,13 +92,13 @@
 	})
 }
 
-// commitTo raises the commit index.
+// commitTo raises the commit index to index; it never lowers it.
 func (c *Core) commitTo(index uint64) {
 	c.log.committed = max(c.log.committed, index)
 }
 
-// handleSnapshot replaces the log by the leader's snapshot unless this replica
-// is already that far.
+// handleSnapshot replaces the log with the leader's snapshot, unless the log
+// already reaches the snapshot's position.
 func (c *Core) handleSnapshot(message Message) {
 	metadata := message.Snapshot.Metadata
 	known := c.log.matches(metadata.Index, metadata.Term)
--- a/internal/consensus/log.go
+++ b/internal/consensus/log.go
@@ -2,11 +2,12 @@
 
 import "slices"
 
-// replicatedLog is the part of the log after the newest compaction, with the
-// positions that the core tracks in it. Invariant:
+// replicatedLog is the log after the last compacted index, with the positions
+// that the core tracks in it. Invariant:
 // snapshotIndex <= applied <= committed <= lastIndex.
 type replicatedLog struct {
-	// snapshotIndex and snapshotTerm are the position before the first entry.
+	// snapshotIndex and snapshotTerm are the index and term of the entry before
+	// the first one held.
 	snapshotIndex uint64
 	snapshotTerm  uint64
 	entries       []Entry
@@ -16,11 +17,11 @@
 	stable uint64
 	// persisting is the last index that the outstanding Ready persists.
 	persisting uint64
-	// pendingSnapshot was received and is not on stable storage yet.
+	// pendingSnapshot is a received snapshot that is not on stable storage yet, or nil.
 	pendingSnapshot *Snapshot
 }
 
-// newLog builds the log from the recovered state.
+// newLog returns the log for a recovered state.
 func newLog(initial InitialState) *replicatedLog {
 	log := &replicatedLog{
 		snapshotIndex: initial.Snapshot.Index,
@@ -47,7 +48,7 @@
 	return term
 }
 
-// term returns the term at an index; false when the log does not hold it.
+// term returns the term of the entry at index, or false if the log does not hold it.
 func (l *replicatedLog) term(index uint64) (uint64, bool) {
 	if index == l.snapshotIndex {
 		return l.snapshotTerm, true
@@ -59,11 +60,12 @@
 }
 
 func (l *replicatedLog) matches(index, term uint64) bool {
-	own, found := l.term(index)
-	return found && own == term
+	ownTerm, found := l.term(index)
+	return found && ownTerm == term
 }
 
-// isUpToDate reports whether a candidate's log is at least as up to date.
+// isUpToDate reports whether a candidate's log, which ends at the given index
+// and term, is at least as up to date as this one.
 func (l *replicatedLog) isUpToDate(index, term uint64) bool {
 	if term != l.lastTerm() {
 		return term > l.lastTerm()
@@ -71,8 +73,8 @@
 	return index >= l.lastIndex()
 }
 
-// slice returns a copy of the entries from first to last, both included, cut
-// after maxBytes of data but holding at least one entry if there is any.
+// slice returns a copy of the entries from first to last inclusive, limited to
+// maxBytes of data, but at least one entry if there is any.
 func (l *replicatedLog) slice(first, last uint64, maxBytes int) []Entry {
 	if first > last {
 		return nil
@@ -89,7 +91,7 @@
 	return slices.Clone(window)
 }
 
-// view returns the entries from first to last without copying them.
+// view returns the entries from first to last inclusive, without copying them.
 func (l *replicatedLog) view(first, last uint64) []Entry {
 	if first > last {
 		return nil
@@ -101,9 +103,9 @@
 	l.entries = append(l.entries, entry)
 }
 
-// merge takes entries that follow a matching position: it keeps what it holds
-// already and replaces the log from the first entry that differs in term. It
-// returns false when that entry is committed here.
+// merge adds entries that follow a matching position. Entries that the log
+// already holds stay; from the first one whose term differs, the log is
+// replaced. It returns false, and changes nothing, if that one is committed.
 func (l *replicatedLog) merge(entries []Entry) bool {
 	for position, entry := range entries {
 		if l.matches(entry.Index, entry.Term) {
@@ -119,7 +121,7 @@
 	return true
 }
 
-// truncate drops the entries from an index on.
+// truncate drops the entries from index on.
 func (l *replicatedLog) truncate(index uint64) {
 	if index > l.lastIndex() {
 		return
@@ -129,19 +131,20 @@
 	l.persisting = min(l.persisting, index-1)
 }
 
-// conflictByTerm returns the highest position at or below index whose term is
-// at most the given one. The term is 0 when the log does not hold the position.
+// conflictByTerm returns the highest index, at or below the given one, whose
+// term is at most the given term, and its term. The search ends at an index that
+// the log does not hold; its term is returned as 0.
 func (l *replicatedLog) conflictByTerm(index, term uint64) (uint64, uint64) {
 	for ; index > 0; index-- {
-		own, found := l.term(index)
-		if !found || own <= term {
-			return index, own
+		ownTerm, found := l.term(index)
+		if !found || ownTerm <= term {
+			return index, ownTerm
 		}
 	}
 	return 0, 0
 }
 
-// restore replaces the whole log by a snapshot.
+// restore replaces the whole log with a snapshot.
 func (l *replicatedLog) restore(snapshot *Snapshot) {
 	l.snapshotIndex = snapshot.Metadata.Index
 	l.snapshotTerm = snapshot.Metadata.Term
@@ -161,12 +164,12 @@
 	l.snapshotTerm = term
 }
 
-// hasUnappliedMembership reports whether a committed change waits to be applied.
-func (l *replicatedLog) hasUnappliedMembership() bool {
+// hasCommittedMembershipChange reports whether a committed membership change is not applied yet.
+func (l *replicatedLog) hasCommittedMembershipChange() bool {
 	return slices.ContainsFunc(l.view(l.applied+1, l.committed), isMembershipChange)
 }
 
-// dataBytes sums the entry data from first to last.
+// dataBytes returns the data size of the entries from first to last.
 func (l *replicatedLog) dataBytes(first, last uint64) int {
 	size := 0
 	for _, entry := range l.view(first, last) {
--- a/internal/consensus/membership.go
+++ b/internal/consensus/membership.go
@@ -51,9 +51,10 @@
 	return nil
 }
 
-// ProposeMembership appends one membership change to the leader's log, which puts
-// it in force here. The next change is accepted once this one is applied. The error is ErrNotLeader,
-// ErrMembershipPending, ErrProposalDropped, or tells why the change is refused.
+// ProposeMembership appends one membership change to the leader's log. The change
+// takes effect on the leader at once. The next one is accepted once this one is
+// applied. The error is ErrNotLeader, ErrMembershipPending or ErrProposalDropped,
+// or says why the change is rejected.
 func (c *Core) ProposeMembership(change MembershipChange) error {
 	if c.role != RoleLeader {
 		return ErrNotLeader
@@ -75,7 +76,7 @@
 	return nil
 }
 
-// checkChange refuses a change that does not fit the present membership.
+// checkChange rejects a change that does not fit the current membership.
 func (c *Core) checkChange(change MembershipChange) error {
 	member, found := memberOf(c.membership, change.Member.ID)
 	switch change.Kind {
@@ -108,21 +109,21 @@
 	return nil
 }
 
-// refreshMembership brings the membership in line with the log: the one as of
-// the applied index and the changes after it.
+// refreshMembership recomputes the effective membership from the log: the
+// membership at the applied index plus the changes after it.
 //
-// A change is in force from the moment at which it is appended to a replica's
-// log, on that replica, until the entry is replaced (section 4.1 of Ongaro's
-// thesis). Safety rests on two rules of ProposeMembership: a leader proposes a
-// change only after the one before is applied, and only after an entry of its
-// own term is. So the logs of all who can win an election hold memberships that
-// are at most one change apart, and quorums of memberships that differ by one
-// voter intersect. Whatever a crash leaves in a log is in force again after it.
+// A change is effective on a replica from when it is appended to that replica's
+// log until the entry is replaced (section 4.1 of Ongaro's thesis). Safety rests on two rules of ProposeMembership: a leader proposes a
+// change only after the previous one is applied, and only after an entry of its
+// own term is applied. So the memberships in the logs of all replicas that can
+// win an election are at most one change apart, and quorums of memberships that
+// differ by one voter intersect. A change that is still in the log after a crash
+// is effective again.
 func (c *Core) refreshMembership() {
 	inForce := c.appliedMembership
 	for _, entry := range c.log.view(c.log.applied+1, c.log.lastIndex()) {
 		if entry.Kind == EntryMembership {
-			inForce = changedBy(inForce, entry)
+			inForce = withEntryChange(inForce, entry)
 		}
 	}
 	c.setMembership(inForce)
@@ -131,15 +132,16 @@
 	}
 }
 
-// restoreMembership begins with the membership at log.applied, which a snapshot
-// or the founding of the group gives.
+// restoreMembership sets the membership at log.applied, which comes from a
+// snapshot or from the creation of the group.
 func (c *Core) restoreMembership(membership Membership) {
 	c.appliedMembership = sorted(membership)
 	c.refreshMembership()
 }
 
-// holdsMembershipChange reports whether a change in the log is not applied yet.
-func (c *Core) holdsMembershipChange() bool {
+// hasUnappliedMembershipChange reports whether the log holds a membership change,
+// committed or not, that is not applied yet.
+func (c *Core) hasUnappliedMembershipChange() bool {
 	return slices.ContainsFunc(c.log.view(c.log.applied+1, c.log.lastIndex()), isMembershipChange)
 }
 
@@ -147,13 +149,13 @@
 	return entry.Kind == EntryMembership
 }
 
-// applyMembership notes that a change which is in force is committed. A leader
+// applyMembership applies a committed change, which is already effective. A leader
 // that it removes steps down, and a removed member is no longer sent the log.
 func (c *Core) applyMembership(entry Entry) {
 	before := c.appliedMembership
-	c.appliedMembership = sorted(changedBy(before, entry))
+	c.appliedMembership = sorted(withEntryChange(before, entry))
 	if c.role == RoleLeader {
-		c.sendFarewells(before)
+		c.notifyRemovedMembers(before)
 	}
 	c.refreshMembership()
 	switch {
@@ -165,9 +167,10 @@
 	}
 }
 
-// sendFarewells tells the members that were removed the commit index, so that
-// they learn of their removal: they get no message afterwards.
-func (c *Core) sendFarewells(before Membership) {
+// notifyRemovedMembers sends removed members a last heartbeat with the commit
+// index, from which they learn that their removal is committed: they get no
+// message afterwards.
+func (c *Core) notifyRemovedMembers(before Membership) {
 	for _, member := range before.Members {
 		_, remains := memberOf(c.appliedMembership, member.ID)
 		if !remains && member.ID != c.config.ID {
@@ -176,26 +179,27 @@
 	}
 }
 
-// mayLead reports whether this replica is a voter of the membership in force, or
+// mayLead reports whether this replica is a voter of the effective membership, or
 // was one before a change that is not applied yet. The latter may still be
-// needed: if it alone holds the entry that removes it, nobody with a shorter log
-// can be elected, and it leads until that entry is committed. Its own vote and
-// its own copy of the log do not count then.
+// needed: if only this replica holds the entry that removes it, no replica with a
+// shorter log can be elected, so this one leads until that entry is committed.
+// Its own vote and its own copy of the log do not count then.
 func (c *Core) mayLead() bool {
 	return c.isVoter(c.config.ID) || isVoterOf(c.appliedMembership, c.config.ID)
 }
 
-// leaderMembershipChanged brings the leader's views in line with the
-// memberships.
+// leaderMembershipChanged updates the leader's state after a membership change:
+// it adds and drops progress, cancels a transfer to a replica that is no longer a
+// voter, and evaluates the commit index and the read round with the new quorum.
 func (c *Core) leaderMembershipChanged() {
 	kept := make(map[ReplicaID]*progress, len(c.receivers))
 	for _, id := range c.receivers {
-		view, found := c.progress[id]
+		memberProgress, found := c.progress[id]
 		if !found {
-			view = newProgress(c.log.lastIndex() + 1)
-			view.recentActive = true
+			memberProgress = newProgress(c.log.lastIndex() + 1)
+			memberProgress.recentActive = true
 		}
-		kept[id] = view
+		kept[id] = memberProgress
 	}
 	c.progress = kept
 	if !c.isVoter(c.transferee) {
@@ -205,20 +209,20 @@
 	c.finishReadRound()
 }
 
-// changedBy returns the membership after the change that an entry holds. Only
-// ProposeMembership makes these entries, and every replica decodes the same
-// bytes to the same result: one that cannot be decoded changes nothing.
-func changedBy(membership Membership, entry Entry) Membership {
+// withEntryChange returns the membership after the change that an entry holds. An
+// entry that cannot be decoded changes nothing: only ProposeMembership creates
+// these entries, and every replica decodes the same bytes to the same result.
+func withEntryChange(membership Membership, entry Entry) Membership {
 	change, err := DecodeMembershipChange(entry.Data)
 	if err != nil {
 		return membership
 	}
-	return changed(membership, change)
+	return withChange(membership, change)
 }
 
-// changed returns the membership after a change. A change that does not fit
-// leaves it as it is.
-func changed(membership Membership, change MembershipChange) Membership {
+// withChange returns the membership after a change. A change that does not fit
+// has no effect.
+func withChange(membership Membership, change MembershipChange) Membership {
 	members := slices.Clone(membership.Members)
 	position := slices.IndexFunc(members, func(member Member) bool { return member.ID == change.Member.ID })
 	switch {
@@ -235,7 +239,7 @@
 	return Membership{Members: members}
 }
 
-// setMembership puts a membership in force.
+// setMembership makes a membership the effective one.
 func (c *Core) setMembership(membership Membership) {
 	c.membership = sorted(membership)
 	c.voters = nil
@@ -254,8 +258,8 @@
 	slices.Sort(c.receivers)
 }
 
-// sorted returns a copy in the order of identifiers, so that the core visits
-// members in the same order on every run.
+// sorted returns a copy in the order of identifiers, so that the core iterates
+// over members in the same order in every run.
 func sorted(membership Membership) Membership {
 	members := slices.Clone(membership.Members)
 	slices.SortFunc(members, func(a, b Member) int { return cmp.Compare(a.ID, b.ID) })
@@ -286,7 +290,7 @@
 	return slices.Contains(c.voters, id)
 }
 
-// quorum is the number of voters that decide.
+// quorum returns the size of a majority of the voters.
 func (c *Core) quorum() int {
 	return len(c.voters)/2 + 1
 }
--- a/internal/consensus/probe_test.go
+++ b/internal/consensus/probe_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// TestProbeIsNotRepeatedByLateAnswers: when a cut heals, the answers to all heartbeats
-// that were held up come at once. Each of them made the leader send everything that
-// the member lacks, which was tens of megabytes within a second.
+// TestProbeIsNotRepeatedByLateAnswers guards against a burst of appends after a network
+// partition heals: the answers to all delayed heartbeats arrive at once, and each made the
+// leader send everything that the member lacked, tens of megabytes within a second.
 func TestProbeIsNotRepeatedByLateAnswers(t *testing.T) {
 	const leader, other, cut = ReplicaID(1), ReplicaID(2), ReplicaID(3)
 	membership := Membership{Members: []Member{{ID: leader}, {ID: other}, {ID: cut}}}
@@ -50,18 +50,18 @@
 		step(Message{Kind: MessageHeartbeatAnswer, From: cut})
 	}
 	if sent := sentEntries(); sent > proposals+1 {
-		t.Errorf("%d entries were sent for 300 answers at once, the member lacks %d", sent, proposals+1)
+		t.Errorf("300 answers at once made the leader send %d entries, the member lacks %d", sent, proposals+1)
 	}
 	for range config.HeartbeatTicks {
 		core.Tick()
 	}
 	step(Message{Kind: MessageHeartbeatAnswer, From: cut})
 	if sent := sentEntries(); sent == 0 {
-		t.Error("a probe that was lost is not repeated a heartbeat later")
+		t.Error("a lost probe was not repeated after a heartbeat interval")
 	}
 }
 
-// elect makes a core the leader by the votes of another member.
+// elect makes a core the leader, with the votes of another member.
 func elect(core *Core, other ReplicaID, step func(Message)) {
 	for core.Status().Role != RoleLeader {
 		core.Tick()
--- a/internal/consensus/progress.go
+++ b/internal/consensus/progress.go
@@ -2,15 +2,16 @@
 
 import "slices"
 
-// progressState is the mode in which the leader sends the log to one member.
+// progressState is how the leader sends the log to one member.
 type progressState uint8
 
 const (
-	// progressProbe sends one MessageAppend at a time to find the last match.
+	// progressProbe sends one MessageAppend at a time to find the last index at
+	// which the logs match.
 	progressProbe progressState = iota
 	// progressReplicate sends ahead of acknowledgements, up to MaxInflight.
 	progressReplicate
-	// progressSnapshot waits for the member to take a snapshot.
+	// progressSnapshot sends no entries until the member has restored a snapshot.
 	progressSnapshot
 )
 
@@ -20,15 +21,15 @@
 	next         uint64
 	state        progressState
 	recentActive bool
-	// silentTicks counts since the member was last heard.
+	// silentTicks is the number of ticks since the last message from the member.
 	silentTicks int
-	// probeTicks counts since the last MessageAppend that was sent in probe.
+	// probeTicks is the number of ticks since the last MessageAppend sent as a probe.
 	probeTicks int
-	// paused holds back MessageAppend until an answer arrives.
+	// paused stops MessageAppend until an answer arrives.
 	paused bool
 	// inflight holds the last index of each unacknowledged MessageAppend.
 	inflight []uint64
-	// snapshotTicks counts since the snapshot was sent.
+	// snapshotTicks is the number of ticks since the snapshot was sent.
 	snapshotTicks int
 }
 
@@ -76,7 +77,7 @@
 }
 
 // acknowledge records that the member holds the log up to index. It returns
-// false when that was known.
+// false if that was already known.
 func (p *progress) acknowledge(index uint64) bool {
 	p.inflight = slices.DeleteFunc(p.inflight, func(last uint64) bool { return last <= index })
 	if index <= p.match {
@@ -89,7 +90,7 @@
 }
 
 // reject records that the member's log does not match at the given index and
-// may match at hint. It returns false when the answer is out of date.
+// may match at hint. It returns false if the answer is outdated.
 func (p *progress) reject(rejected, hint uint64) bool {
 	if p.state == progressReplicate {
 		if rejected <= p.match {
--- a/internal/consensus/random_test.go
+++ b/internal/consensus/random_test.go
@@ -13,24 +13,24 @@
 	maxReplicas = 7
 )
 
-// randomRun drives a cluster by random events: loss, delay, reordering,
-// duplication, crashes in the middle of persisting, and membership changes.
+// randomRun drives a cluster with random events: message loss, delay, reordering
+// and duplication, crashes while persisting, and membership changes.
 type randomRun struct {
 	*cluster
 	random   *rand.Rand
 	sequence uint64
-	// tickChance and lossChance are percentages. Many ticks make elections.
+	// tickChance and lossChance are percentages. A high tickChance causes elections.
 	tickChance int
 	lossChance int
 }
 
-func newRandomRun(seed uint64, planted faults) *randomRun {
-	run := &randomRun{cluster: newCluster(3), random: rand.New(rand.NewPCG(seed, 1))} //nolint:gosec // must replay from the seed
-	run.faults = planted
+func newRandomRun(seed uint64, injected faults) *randomRun {
+	run := &randomRun{cluster: newCluster(3), random: rand.New(rand.NewPCG(seed, 1))} //nolint:gosec // runs must be reproducible from the seed
+	run.faults = injected
 	run.tickChance = 20 + 10*int(seed%5)
 	run.lossChance = 5 * int(seed%3)
-	oneIn := 60 << (seed % 6) // from restless to calm
-	run.crashAt = func(ReplicaID) bool { return run.random.IntN(oneIn) == 0 }
+	crashInterval := 60 << (seed % 6) // one crash per 60 to 1920 calls of crashAt
+	run.crashAt = func(ReplicaID) bool { return run.random.IntN(crashInterval) == 0 }
 	return run
 }
 
@@ -57,7 +57,7 @@
 		run.deliverOne()
 	case chance < 92:
 		run.sequence++
-		_ = r.core.Propose(fmt.Appendf(nil, "%d", run.sequence)) // refusals are expected
+		_ = r.core.Propose(fmt.Appendf(nil, "%d", run.sequence)) // rejections are expected
 	case chance < 96:
 		run.read(r)
 	case chance < 98:
@@ -69,7 +69,7 @@
 	case run.random.IntN(4) == 0:
 		r.core = nil
 	default:
-		_ = r.core.TransferLeadership(run.ids[run.random.IntN(len(run.ids))]) // refusals are expected
+		_ = r.core.TransferLeadership(run.ids[run.random.IntN(len(run.ids))]) // rejections are expected
 	}
 	run.run(id)
 	if r.core != nil {
@@ -77,7 +77,7 @@
 	}
 }
 
-// deliverOne takes any message in flight: it is lost, repeated or delivered.
+// deliverOne picks one of the first 8 messages in flight and loses, duplicates or delivers it.
 func (run *randomRun) deliverOne() {
 	if len(run.network) == 0 {
 		return
@@ -100,10 +100,10 @@
 		run.checker.confirmed(ReadState{Context: run.sequence, Index: r.core.log.committed})
 		return
 	}
-	_ = r.core.ReadIndex(run.sequence) // refusals are expected
+	_ = r.core.ReadIndex(run.sequence) // rejections are expected
 }
 
-// change proposes a random membership change; most fit, some are refused.
+// change proposes a random membership change; most are valid, some are rejected.
 func (run *randomRun) change(core *Core) {
 	if core.role != RoleLeader {
 		return
@@ -120,7 +120,8 @@
 	}
 }
 
-// settle ends all faults and reports whether the group commits a new command.
+// settle stops crashes and message loss, restarts crashed replicas and reports
+// whether the group then commits a new command.
 func (run *randomRun) settle() bool {
 	run.crashAt = nil
 	for _, id := range run.ids {
@@ -128,14 +129,14 @@
 			run.restart(id)
 		}
 	}
-	const wanted = "settled"
+	const command = "settled"
 	for range 400 {
 		for _, id := range run.ids {
 			core := run.replicas[id].core
 			core.Tick()
-			_ = core.Propose([]byte(wanted)) // only the leader takes it
+			_ = core.Propose([]byte(command)) // only the leader accepts it
 			run.deliver()
-			if slices.Contains(run.replicas[id].state, wanted) {
+			if slices.Contains(run.replicas[id].state, command) {
 				return true
 			}
 		}
@@ -158,12 +159,13 @@
 	}
 	t.Logf("%d commits, %d reads, %d replicas added", commits, confirmed, changes)
 	if commits < 10*randomSeeds || confirmed < randomSeeds || changes < randomSeeds/2 {
-		t.Fatal("the runs are too quiet to prove anything")
+		t.Fatal("the runs committed too few entries, reads or membership changes to prove anything")
 	}
 }
 
-// TestPlantedForgottenVote lets a voter crash between two candidates of one
-// term. The checker finds two leaders if, and only if, the vote is forgotten.
+// TestPlantedForgottenVote restarts a voter between the vote requests of two
+// candidates of one term. The checker must find two leaders if, and only if, the
+// vote was not persisted.
 func TestPlantedForgottenVote(t *testing.T) {
 	for _, forget := range []bool{false, true} {
 		c := newCluster(3)
@@ -177,18 +179,18 @@
 		c.replicas[2].core.startElection(false)
 		c.deliver()
 		if found := c.checker.violation != ""; found != forget {
-			t.Fatalf("vote forgotten: %v, checker says %q", forget, c.checker.violation)
+			t.Fatalf("vote forgotten: %v, checker reports %q", forget, c.checker.violation)
 		}
 	}
 }
 
-// TestPlantedFaults proves that the checker finds each planted fault.
+// TestPlantedFaults proves that the checker detects each injected fault.
 func TestPlantedFaults(t *testing.T) {
-	planted := map[string]faults{
+	injected := map[string]faults{
 		"own append counts unsynced":  {skipEntries: true},
 		"read without a quorum round": {localReads: true},
 	}
-	for name, fault := range planted {
+	for name, fault := range injected {
 		t.Run(name, func(t *testing.T) {
 			for seed := uint64(1); seed <= randomSeeds; seed++ {
 				run := newRandomRun(seed, fault)
--- a/internal/consensus/readindex.go
+++ b/internal/consensus/readindex.go
@@ -1,6 +1,6 @@
 package consensus
 
-// maxWaitingReads bounds the reads that wait for the next quorum round.
+// maxWaitingReads limits the reads that wait for the next quorum round.
 const maxWaitingReads = 4096
 
 // readRequest is one read and the replica that asked for it.
@@ -11,22 +11,22 @@
 
 // readRounds confirms reads by quorum rounds, one at a time. Every heartbeat
 // carries the number of the newest round, so an answer with that number proves
-// that the member followed this leader after the round began.
+// that the member still followed this leader after the round began.
 type readRounds struct {
 	number       uint64
 	inFlight     bool
 	index        uint64
 	confirming   []readRequest
 	acknowledged map[ReplicaID]bool
-	// waiting reads came after the round in flight began, or before the leader
-	// committed an entry of its term.
+	// waiting holds the reads that arrived after the round in flight began, or
+	// before the leader committed an entry of its term.
 	waiting []readRequest
 }
 
-// ReadIndex asks for a commit index that is confirmed by a quorum round which
-// begins after this call. The result arrives as a ReadState with the context.
-// It never arrives when leadership or a message is lost: the driver bounds its
-// wait. Contexts must not be used twice, not even across restarts. The error is
+// ReadIndex requests a commit index that is confirmed by a quorum round which
+// begins after this call. The result arrives as a ReadState with the context. It
+// never arrives if leadership or a message is lost, so the driver needs a timeout.
+// A context must not be used twice, not even across restarts. The error is
 // ErrNoLeader on a follower, or ErrReadQueueFull.
 func (c *Core) ReadIndex(context uint64) error {
 	if c.role == RoleLeader {
@@ -50,7 +50,7 @@
 
 // startReadRound begins a round for the waiting reads, unless one is in flight
 // or the leader has not committed an entry of its term: before that, its commit
-// index may be below what an earlier leader acknowledged.
+// index may be below entries that an earlier leader acknowledged.
 func (c *Core) startReadRound() {
 	if c.reads.inFlight || len(c.reads.waiting) == 0 || !c.termCommitted() {
 		return
@@ -65,7 +65,7 @@
 	c.finishReadRound()
 }
 
-// acknowledgeRead counts a heartbeat answer for the round that it belongs to.
+// acknowledgeRead counts a heartbeat answer if it belongs to the round in flight.
 func (c *Core) acknowledgeRead(from ReplicaID, number uint64) {
 	if !c.reads.inFlight || number != c.reads.number {
 		return
@@ -74,7 +74,7 @@
 	c.finishReadRound()
 }
 
-// finishReadRound confirms the round's reads once a quorum acknowledged it.
+// finishReadRound confirms the round's reads if a quorum has acknowledged it.
 func (c *Core) finishReadRound() {
 	if !c.reads.inFlight {
 		return
--- a/internal/consensus/ready.go
+++ b/internal/consensus/ready.go
@@ -2,17 +2,17 @@
 
 import "math"
 
-// maxCommittedBytes bounds the entry data of Committed in one Ready.
+// maxCommittedBytes limits the entry data of Committed in one Ready.
 const maxCommittedBytes = 4 << 20
 
-// outstandingReady is what Advance must know of the Ready that was handed out.
+// outstandingReady is what Advance needs to know about the last Ready.
 type outstandingReady struct {
 	snapshot    *Snapshot
 	ownVoteTerm uint64
 }
 
-// HasReady reports whether Ready holds work. It is false while an earlier Ready
-// waits for Advance.
+// HasReady reports whether Ready would return work. It is false until Advance is
+// called for the previous Ready.
 func (c *Core) HasReady() bool {
 	if c.outstanding != nil {
 		return false
@@ -25,15 +25,15 @@
 		len(c.readStates) > 0
 }
 
-// Ready hands out the work since the last one; the driver must finish it and
-// call Advance before the next. While one is outstanding, Ready is empty.
+// Ready returns the work since the previous Ready. The driver must finish it and
+// call Advance before it calls Ready again; until then Ready returns no work.
 //
 // HardState must be on stable storage before Entries or together with them; one
 // in which only Commit changed needs no sync. Entries replace all persisted
-// entries from the first one's index on. A Ready
-// with a Snapshot holds nothing else but HardState; the driver discards its
-// whole persisted log. A snapshot at index 0 without data means the empty state
-// with the group's first membership. The driver must not change Entries' data.
+// entries from the first one's index on. A Ready with a Snapshot holds
+// nothing else but HardState; the driver discards its whole persisted log. A
+// snapshot at index 0 without data means the empty state with the group's initial
+// membership. The driver must not modify the data of Entries.
 func (c *Core) Ready() Ready {
 	if c.outstanding != nil {
 		return Ready{}
@@ -55,9 +55,10 @@
 	return ready
 }
 
-// hardState is what the next Ready persists. Its commit index covers only what
-// is on stable storage already: a crash after the hard state and before the
-// entries must not commit entries that those would have replaced.
+// hardState returns what the next Ready persists. Its commit index covers only
+// entries that are on stable storage already: after a crash between persisting the
+// hard state and the entries, it must not commit entries that those would have
+// replaced.
 func (c *Core) hardState() HardState {
 	state := HardState{Term: c.term, Vote: c.vote, Commit: c.persisted.Commit}
 	if c.log.pendingSnapshot == nil {
@@ -76,8 +77,8 @@
 }
 
 // Advance tells the core that the work of the last Ready is done: everything is
-// on stable storage, messages are handed over and Committed is applied. Only
-// now do the own vote and the own copies of entries count.
+// on stable storage, messages are passed to the transport and Committed is
+// applied. Only now do this replica's own vote and its copies of entries count.
 func (c *Core) Advance(ready Ready) {
 	done := c.outstanding
 	if done == nil {
@@ -102,7 +103,7 @@
 	}
 }
 
-// advanceOwnMatch counts the leader's own persisted entries.
+// advanceOwnMatch counts the leader's persisted entries towards the quorum.
 func (c *Core) advanceOwnMatch() {
 	if c.role != RoleLeader {
 		return
@@ -113,7 +114,7 @@
 	}
 }
 
-// advanceApplied moves the applied index and puts membership changes in force.
+// advanceApplied raises the applied index and applies membership changes.
 func (c *Core) advanceApplied(entries []Entry) {
 	for _, entry := range entries {
 		if entry.Index <= c.log.applied {
--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// snapshotRetryElections is how many election timeouts the leader waits for the
-// answer to a snapshot before it sends one again.
-const snapshotRetryElections = 4
+// snapshotRetryElectionTimeouts is the number of election timeouts that the leader
+// waits for the answer to a snapshot before it probes the member again.
+const snapshotRetryElectionTimeouts = 4
 
 func (c *Core) broadcastAppend() {
 	for _, id := range c.receivers {
@@ -17,18 +17,18 @@
 // sendAppend sends the next entries to a member, or a snapshot if the log no
 // longer holds them. It returns false when nothing was sent.
 func (c *Core) sendAppend(id ReplicaID, allowEmpty bool) bool {
-	view := c.progress[id]
-	if view.paused {
+	memberProgress := c.progress[id]
+	if memberProgress.paused {
 		return false
 	}
-	previous := view.next - 1
+	previous := memberProgress.next - 1
 	previousTerm, found := c.log.term(previous)
 	if !found {
-		return c.sendSnapshot(id, view)
+		return c.sendSnapshot(id, memberProgress)
 	}
 	var entries []Entry
-	if !view.full(c.config.MaxInflight) {
-		entries = c.log.slice(view.next, c.log.lastIndex(), c.config.MaxAppendBytes)
+	if !memberProgress.full(c.config.MaxInflight) {
+		entries = c.log.slice(memberProgress.next, c.log.lastIndex(), c.config.MaxAppendBytes)
 	}
 	if len(entries) == 0 && !allowEmpty {
 		return false
@@ -38,26 +38,26 @@
 		Commit: c.log.committed, Entries: entries,
 	}
 	if previous == 0 {
-		message.Snapshot = &Snapshot{Metadata: SnapshotMetadata{Membership: c.firstMembership}}
+		message.Snapshot = &Snapshot{Metadata: SnapshotMetadata{Membership: c.initialMembership}}
 	}
 	c.send(message)
-	view.sent(len(entries), c.config.MaxInflight)
+	memberProgress.sent(len(entries), c.config.MaxInflight)
 	return true
 }
 
-// sendSnapshot queues a snapshot message, which Ready fills. A member that was
-// not heard from gets none.
-func (c *Core) sendSnapshot(id ReplicaID, view *progress) bool {
-	if !view.recentActive {
+// sendSnapshot queues a snapshot message, to which Ready adds the snapshot. A
+// member that was not heard from recently gets none.
+func (c *Core) sendSnapshot(id ReplicaID, memberProgress *progress) bool {
+	if !memberProgress.recentActive {
 		return false
 	}
-	view.becomeSnapshot()
+	memberProgress.becomeSnapshot()
 	c.send(Message{Kind: MessageSnapshot, To: id})
 	return true
 }
 
-// fillSnapshots gives queued snapshot messages the newest snapshot and drops
-// them when the source has none that the log continues.
+// fillSnapshots adds the newest snapshot to queued snapshot messages. It drops
+// them if the source has none, or only one from which the log no longer continues.
 func (c *Core) fillSnapshots(messages []Message) []Message {
 	filled := messages[:0]
 	for _, message := range messages {
@@ -76,27 +76,27 @@
 
 // abandonSnapshot returns a member to probing after its next heartbeat answer.
 func (c *Core) abandonSnapshot(id ReplicaID) {
-	view, found := c.progress[id]
-	if found && view.state == progressSnapshot {
-		view.becomeProbe()
-		view.paused = true
+	memberProgress, found := c.progress[id]
+	if found && memberProgress.state == progressSnapshot {
+		memberProgress.becomeProbe()
+		memberProgress.paused = true
 	}
 }
 
 func (c *Core) tickSnapshots() {
 	for _, id := range c.receivers {
-		view := c.progress[id]
-		if view.state != progressSnapshot {
+		memberProgress := c.progress[id]
+		if memberProgress.state != progressSnapshot {
 			continue
 		}
-		view.snapshotTicks++
-		if view.snapshotTicks >= snapshotRetryElections*c.config.ElectionTicks {
-			view.becomeProbe()
+		memberProgress.snapshotTicks++
+		if memberProgress.snapshotTicks >= snapshotRetryElectionTimeouts*c.config.ElectionTicks {
+			memberProgress.becomeProbe()
 		}
 	}
 }
 
-// broadcastHeartbeat sends a heartbeat of the present read round to all.
+// broadcastHeartbeat sends all members a heartbeat with the number of the newest read round.
 func (c *Core) broadcastHeartbeat() {
 	c.heartbeatElapsed = 0
 	for _, id := range c.receivers {
@@ -113,13 +113,13 @@
 	})
 }
 
-func (c *Core) handleAppendAnswer(answer Message, view *progress) {
+func (c *Core) handleAppendAnswer(answer Message, memberProgress *progress) {
 	if answer.Reject {
 		hint := answer.Hint
 		if answer.HintTerm > 0 {
 			hint, _ = c.log.conflictByTerm(answer.Hint, answer.HintTerm)
 		}
-		if view.reject(answer.Index, hint) {
+		if memberProgress.reject(answer.Index, hint) {
 			c.sendAppend(answer.From, true)
 		}
 		return
@@ -127,10 +127,10 @@
 	if answer.Index > c.log.lastIndex() {
 		return
 	}
-	wasPaused := view.paused
-	probed := view.state == progressProbe && answer.Index == view.match
-	if view.acknowledge(answer.Index) || probed {
-		c.leaveProbe(view)
+	wasPaused := memberProgress.paused
+	probed := memberProgress.state == progressProbe && answer.Index == memberProgress.match
+	if memberProgress.acknowledge(answer.Index) || probed {
+		c.leaveProbe(memberProgress)
 		if c.advanceCommit() {
 			c.broadcastAppend()
 		} else if wasPaused {
@@ -141,37 +141,37 @@
 	c.continueTransfer(answer.From)
 }
 
-// leaveProbe starts replication to a member whose last match is known.
-func (c *Core) leaveProbe(view *progress) {
-	switch view.state {
+// leaveProbe resumes replication to a member that acknowledged its match index.
+func (c *Core) leaveProbe(memberProgress *progress) {
+	switch memberProgress.state {
 	case progressProbe:
-		view.becomeReplicate()
+		memberProgress.becomeReplicate()
 	case progressSnapshot:
-		view.paused = true
-		if view.match >= c.log.snapshotIndex {
-			view.becomeReplicate()
+		memberProgress.paused = true
+		if memberProgress.match >= c.log.snapshotIndex {
+			memberProgress.becomeReplicate()
 		}
 	case progressReplicate:
-		view.paused = view.full(c.config.MaxInflight)
+		memberProgress.paused = memberProgress.full(c.config.MaxInflight)
 	}
 }
 
-// sendRemaining sends entries until the member is up to date or its window is
-// full.
+// sendRemaining sends entries until the member has been sent the whole log or its
+// inflight window is full.
 func (c *Core) sendRemaining(id ReplicaID) {
 	for c.progress[id].state == progressReplicate && c.sendAppend(id, false) {
 		continue
 	}
 }
 
-// handleHeartbeatAnswer sends what the member lacks, as the last MessageAppend may be
-// lost. A probe is repeated once a heartbeat interval at most: when a cut heals, the
-// answers to all heartbeats that were held up come at once.
-func (c *Core) handleHeartbeatAnswer(answer Message, view *progress) {
-	probedNow := view.state == progressProbe && view.paused && view.probeTicks < c.config.HeartbeatTicks
-	if view.state != progressSnapshot && !probedNow {
-		view.paused = false
-		if view.match < c.log.lastIndex() {
+// handleHeartbeatAnswer sends entries that the member lacks, as the last MessageAppend
+// may have been lost. A probe is repeated at most once per heartbeat interval: when a
+// network partition heals, the answers to all delayed heartbeats arrive at once.
+func (c *Core) handleHeartbeatAnswer(answer Message, memberProgress *progress) {
+	probedRecently := memberProgress.state == progressProbe && memberProgress.paused && memberProgress.probeTicks < c.config.HeartbeatTicks
+	if memberProgress.state != progressSnapshot && !probedRecently {
+		memberProgress.paused = false
+		if memberProgress.match < c.log.lastIndex() {
 			c.sendAppend(answer.From, true)
 		}
 	}
@@ -179,8 +179,9 @@
 }
 
 // advanceCommit commits the highest index of this term that a quorum of voters
-// has persisted. Entries of earlier terms are committed only by an entry of the
-// present one (section 5.4.2 of the Raft paper).
+// has persisted, and reports whether the commit index rose. Entries of earlier
+// terms are committed only by an entry of the current one (section 5.4.2 of the
+// Raft paper).
 func (c *Core) advanceCommit() bool {
 	if len(c.voters) == 0 {
 		return false
--- a/internal/consensus/script_test.go
+++ b/internal/consensus/script_test.go
@@ -9,8 +9,9 @@
 	"testing"
 )
 
-// TestScripts runs the text scripts: blocks of commands, a line "----" and the
-// expected output, separated by empty lines. UPDATE_SCRIPTS=1 rewrites them.
+// TestScripts runs the scripts in testdata. A script consists of blocks separated
+// by empty lines: commands, a line "----" and the expected output.
+// UPDATE_SCRIPTS=1 rewrites the expected output.
 func TestScripts(t *testing.T) {
 	paths, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(paths) == 0 {
@@ -22,7 +23,7 @@
 }
 
 func runScript(t *testing.T, path string) {
-	text, err := os.ReadFile(path) //nolint:gosec // a path from the test's own glob
+	text, err := os.ReadFile(path) //nolint:gosec // the path comes from the test's own glob
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -66,8 +67,7 @@
 	return value
 }
 
-// execute runs one command. Nothing is delivered but by deliver, step and
-// campaign.
+// execute runs one command. Only deliver, step and campaign deliver messages.
 func (c *cluster) execute(t *testing.T, words []string) error {
 	first, second := uint64(0), uint64(0)
 	if len(words) > 1 {
@@ -76,7 +76,7 @@
 	if len(words) > 2 && words[0] != "propose" {
 		second = number(t, words[2])
 	}
-	if c.control(words[0], first, second) {
+	if c.executeControl(words[0], first, second) {
 		return nil
 	}
 	core := c.replicas[ReplicaID(first)].core
@@ -105,8 +105,9 @@
 	return nil
 }
 
-// control runs a command on the network or on a replica's life and time.
-func (c *cluster) control(name string, first, second uint64) bool {
+// executeControl runs a command that acts on the network, or on a replica's
+// process or clock. It returns false for other commands.
+func (c *cluster) executeControl(name string, first, second uint64) bool {
 	id := ReplicaID(first)
 	switch name {
 	case "deliver":
@@ -116,7 +117,7 @@
 	case "lose":
 		c.network = nil
 	case "age":
-		c.age()
+		c.expireLeaderContact()
 	case "status":
 		c.printStatus()
 	case "quiet":
@@ -158,8 +159,9 @@
 	}
 }
 
-// age ends the time in which followers ignore campaigns.
-func (c *cluster) age() {
+// expireLeaderContact lets the election timeout pass on all followers, during which
+// they ignore vote requests since they heard from a leader.
+func (c *cluster) expireLeaderContact() {
 	for _, r := range c.replicas {
 		if r.core != nil && r.core.role != RoleLeader {
 			r.core.electionElapsed = r.core.config.ElectionTicks
@@ -167,7 +169,7 @@
 	}
 }
 
-// campaign ticks a replica until its election timeout ends, then delivers.
+// campaign lets a replica's election timeout expire, then delivers all messages.
 func (c *cluster) campaign(id ReplicaID) {
 	core := c.replicas[id].core
 	core.electionElapsed = core.electionTimeout
--- a/internal/consensus/step.go
+++ b/internal/consensus/step.go
@@ -2,16 +2,16 @@
 
 import "github.com/rotisserie/eris"
 
-// Step takes one message from another replica. An error of ErrInvalidMessage
-// means that the message was dropped; ErrLogLost means that this replica's
-// storage lost data and it must stop. Other errors concern a forwarded
-// proposal or read. A message that is merely out of date is dropped silently.
+// Step handles one message from another replica. ErrInvalidMessage means that the
+// message was dropped; ErrLogLost means that this replica's storage lost data and
+// it must stop. Other errors concern a forwarded proposal or read. A message that
+// is merely outdated is dropped without an error.
 func (c *Core) Step(message Message) error {
 	if err := c.validateMessage(message); err != nil {
 		return err
 	}
 	if message.Term < c.term {
-		c.answerLowerTerm(message)
+		c.rejectLowerTerm(message)
 		return nil
 	}
 	if message.Term > c.term && !c.acceptHigherTerm(message) {
@@ -31,7 +31,7 @@
 		return eris.Wrapf(ErrInvalidMessage, "Kind is %d: the kind is unknown", message.Kind)
 	}
 	if message.Kind == MessageSnapshot && (message.Snapshot == nil || message.Snapshot.Metadata.Index == 0) {
-		return eris.Wrap(ErrInvalidMessage, "Snapshot is empty: a snapshot message carries one")
+		return eris.Wrap(ErrInvalidMessage, "Snapshot is missing or at index 0: a snapshot message must carry one at an index above 0")
 	}
 	if message.Kind != MessageAppend {
 		return nil
@@ -51,10 +51,10 @@
 	return nil
 }
 
-// answerLowerTerm tells the sender of an out-of-date message of the present
-// term where that is needed for progress: a leader that lost its term steps
-// down, and a pre-candidate catches up with the term.
-func (c *Core) answerLowerTerm(message Message) {
+// rejectLowerTerm tells the sender of an outdated message the current term where
+// progress depends on it: a deposed leader steps down, and a pre-candidate catches
+// up with the term.
+func (c *Core) rejectLowerTerm(message Message) {
 	switch message.Kind {
 	case MessageAppend, MessageHeartbeat, MessageSnapshot:
 		c.send(Message{Kind: MessageAppendAnswer, To: message.From, Reject: true})
@@ -64,26 +64,26 @@
 	}
 }
 
-// acceptHigherTerm moves to the message's term if the message proves that the
-// term has begun. It returns false when the message must be ignored.
+// acceptHigherTerm adopts the message's term if the message proves that the term
+// has begun. It returns false if the message must be ignored.
 //
-// A leader ignores every higher term of a replica outside its membership, for
-// example a removed one. Should such a replica truly lead a newer term, then
-// the quorum follows it and check-quorum ends this leadership in time.
+// A leader ignores higher terms from a replica outside its membership, for example
+// a removed one. If such a replica does lead a newer term, the quorum follows it
+// and check-quorum makes this leader step down.
 func (c *Core) acceptHigherTerm(message Message) bool {
 	if c.role == RoleLeader && !c.isMember(message.From) {
 		return false
 	}
 	switch message.Kind {
 	case MessagePreVote:
-		return message.Transfer || !c.hearsLeader()
+		return message.Transfer || !c.hasActiveLeader()
 	case MessageVote:
-		if !message.Transfer && c.hearsLeader() {
+		if !message.Transfer && c.hasActiveLeader() {
 			return false
 		}
 		c.becomeFollower(message.Term, 0)
 	case MessagePreVoteAnswer:
-		// A granted pre-vote carries the term that the campaign would start.
+		// A granted pre-vote carries the term that the election would start.
 		if message.Reject {
 			c.becomeFollower(message.Term, 0)
 		}
@@ -95,16 +95,17 @@
 	return true
 }
 
-// hearsLeader reports whether this replica leads or heard from a leader within
-// the election timeout. It then ignores campaigns.
-func (c *Core) hearsLeader() bool {
+// hasActiveLeader reports whether this replica leads or heard from a leader within
+// the minimum election timeout. It then ignores vote requests of higher terms,
+// except those for a leadership transfer.
+func (c *Core) hasActiveLeader() bool {
 	if c.role == RoleLeader {
 		return true
 	}
 	return c.leader != 0 && c.electionElapsed < c.config.ElectionTicks
 }
 
-// dispatch handles a message of the present term or a pre-vote.
+// dispatch handles a message of the current term, or a pre-vote message.
 func (c *Core) dispatch(message Message) error {
 	switch message.Kind {
 	case MessagePreVote, MessageVote:
@@ -123,7 +124,7 @@
 	return nil
 }
 
-// dispatchToLeader handles the kinds that only a leader takes.
+// dispatchToLeader handles the kinds that only a leader accepts.
 func (c *Core) dispatchToLeader(message Message) error {
 	if c.role != RoleLeader {
 		if message.Kind == MessageForward {
@@ -131,17 +132,17 @@
 		}
 		return nil
 	}
-	view, found := c.progress[message.From]
+	memberProgress, found := c.progress[message.From]
 	if !found {
 		return nil
 	}
-	view.recentActive = true
-	view.silentTicks = 0
+	memberProgress.recentActive = true
+	memberProgress.silentTicks = 0
 	switch message.Kind {
 	case MessageAppendAnswer:
-		c.handleAppendAnswer(message, view)
+		c.handleAppendAnswer(message, memberProgress)
 	case MessageHeartbeatAnswer:
-		c.handleHeartbeatAnswer(message, view)
+		c.handleHeartbeatAnswer(message, memberProgress)
 	case MessageReadIndex:
 		return c.enqueueRead(readRequest{from: message.From, context: message.Context})
 	case MessageForward:
--- a/internal/consensus/transfer.go
+++ b/internal/consensus/transfer.go
@@ -2,9 +2,10 @@
 
 import "github.com/rotisserie/eris"
 
-// TransferLeadership asks a voter to take over. The leader first brings its log
-// up to date and accepts no proposal meanwhile; it gives up after ElectionTicks.
-// The error is ErrNotLeader or ErrUnknownMember. Status tells the outcome.
+// TransferLeadership asks a voter to take over leadership. The leader first brings
+// that voter's log up to date and accepts no proposals meanwhile; it gives up after
+// ElectionTicks. The error is ErrNotLeader or ErrUnknownMember. The outcome is
+// visible in Status.
 func (c *Core) TransferLeadership(to ReplicaID) error {
 	if c.role != RoleLeader {
 		return ErrNotLeader
@@ -37,7 +38,7 @@
 	}
 }
 
-// handleTimeoutNow campaigns at once, without a pre-vote.
+// handleTimeoutNow starts an election at once, without a pre-vote.
 func (c *Core) handleTimeoutNow() {
 	if c.role == RoleFollower {
 		c.startElection(true)
--- a/internal/consensus/types.go
+++ b/internal/consensus/types.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// ReplicaID identifies one replica for its whole life. It is drawn at random
-// at first start; a replica whose disk was lost gets a new one. Zero means none.
+// ReplicaID identifies one replica for as long as its disk lasts. It is chosen at
+// random at first start; a replica whose disk was lost gets a new one. Zero means none.
 type ReplicaID uint64
 
-// EntryKind tells what an entry's data holds.
+// EntryKind says what an entry's data holds.
 type EntryKind uint8
 
 // Kinds of log entries.
@@ -26,7 +26,8 @@
 	Data  []byte
 }
 
-// HardState is what must be on stable storage before messages are sent.
+// HardState is the part of the core's state, besides the log, that must be on
+// stable storage before messages are sent.
 type HardState struct {
 	Term   uint64
 	Vote   ReplicaID
@@ -51,7 +52,7 @@
 	Members []Member
 }
 
-// ChangeKind names one membership change.
+// ChangeKind is the kind of a membership change.
 type ChangeKind uint8
 
 // Kinds of membership change. Each changes at most one voter.
@@ -67,7 +68,7 @@
 	Member Member
 }
 
-// SnapshotMetadata places a snapshot in the log.
+// SnapshotMetadata is a snapshot's log position and the membership there.
 type SnapshotMetadata struct {
 	Index      uint64
 	Term       uint64
@@ -80,7 +81,7 @@
 	Data     []byte
 }
 
-// MessageKind names one message between replicas.
+// MessageKind is the kind of a message between replicas.
 type MessageKind uint8
 
 // Kinds of messages.
@@ -102,9 +103,9 @@
 	MessageReadIndexAnswer
 )
 
-// Message travels between replicas. Fields that a kind does not use are zero, and left
-// out on the wire, where the others have short names: messages without entries are
-// most of what control sends.
+// Message is sent between replicas. Fields that a kind does not use are zero. They are
+// omitted on the wire, and the others have short names there, since messages without
+// entries are most of the traffic between controllers.
 type Message struct {
 	Kind     MessageKind `msgpack:"k,omitempty"`
 	From     ReplicaID   `msgpack:"f,omitempty"`
@@ -122,19 +123,19 @@
 	Snapshot *Snapshot `msgpack:"s,omitempty"`
 	// Transfer marks a vote request that a leadership transfer asked for.
 	Transfer bool `msgpack:"v,omitempty"`
-	// Quiet, in a granted vote, is a time before it, by the voter's clock, in
-	// which the voter acknowledged no leader and led no term.
+	// Quiet, in a granted vote, is a time up to the vote, by the voter's clock, in
+	// which the voter acknowledged no leader and led no term. See quiet.go.
 	Quiet time.Duration `msgpack:"q,omitempty"`
 }
 
-// ReadState says that a read request was confirmed: a quorum acknowledged this
-// leader in a round that began after the request was made.
+// ReadState is a confirmed read request: a quorum acknowledged the leader in a round
+// that began after the request was made. Index is the commit index to read at.
 type ReadState struct {
 	Context uint64
 	Index   uint64
 }
 
-// Role is the part that a replica plays in its term.
+// Role is a replica's role in its term.
 type Role uint8
 
 // Roles of a replica.
@@ -158,12 +159,13 @@
 	// restore the state machine from it before applying Committed.
 	Snapshot *Snapshot
 	Messages []Message
-	// Committed entries are already stable on this replica or among Entries.
+	// Committed holds entries to apply. Each is on this replica's stable storage
+	// already or among Entries.
 	Committed  []Entry
 	ReadStates []ReadState
 }
 
-// Status describes the core for logs, metrics and decisions of the driver.
+// Status is the core's state for logs, metrics and decisions of the driver.
 type Status struct {
 	ID         ReplicaID
 	Role       Role
@@ -173,20 +175,20 @@
 	Applied    uint64
 	LastIndex  uint64
 	FirstIndex uint64
-	// Membership is the membership in force: the newest in the log, committed or
-	// not. It may go back when the log's tail is replaced.
+	// Membership is the effective membership: the newest in the log, committed or
+	// not. It may revert to an earlier one when the log's tail is replaced.
 	Membership Membership
 	// AppliedMembership is the membership as of Applied, which is what a
 	// snapshot taken at Applied must carry.
 	AppliedMembership Membership
-	// Progress is filled on the leader only.
+	// Progress is set on the leader only.
 	Progress []Progress
 	// TermCommitted is true on a leader that has committed an entry of its own
 	// term: only then does its state hold every acknowledged entry.
 	TermCommitted bool
 	// QuietBeforeElection, on the leader only, is a time before its election in
-	// which no quorum round of an earlier leader began. It was measured by other
-	// replicas' clocks, so the clock rate bound is to be taken off.
+	// which no quorum round of an earlier leader began. It is measured by other
+	// replicas' clocks, so the caller must subtract the clock rate bound.
 	QuietBeforeElection time.Duration
 }
 
@@ -196,7 +198,7 @@
 	Match        uint64
 	Next         uint64
 	RecentActive bool
-	// Silent is true for a member that was not heard for two election timeouts.
+	// Silent is true for a member that sent nothing for two election timeouts.
 	Silent  bool
 	Learner bool
 }
@@ -206,30 +208,32 @@
 	ID             ReplicaID
 	ElectionTicks  int
 	HeartbeatTicks int
-	// MaxAppendBytes bounds the entry data in one MessageAppend.
+	// MaxAppendBytes limits the entry data in one MessageAppend, which holds at
+	// least one entry.
 	MaxAppendBytes int
-	// MaxInflight bounds unacknowledged MessageAppend per member.
+	// MaxInflight limits the unacknowledged MessageAppend messages per member.
 	MaxInflight int
-	// MaxUncommittedBytes bounds proposals that are not yet committed.
+	// MaxUncommittedBytes limits the data of proposals that are not yet committed.
 	MaxUncommittedBytes int
 	// TickInterval is the time between two ticks of the driver's clock. The driver
-	// drops a tick that finds the one before still waiting. Zero means that the
-	// interval is unknown; the replica then vouches for no quiet time.
+	// drops a tick if the previous one has not been processed yet. Zero means that
+	// the interval is unknown; the replica then reports a quiet time of zero.
 	TickInterval time.Duration
-	// Seed feeds the randomised election timeout.
+	// Seed seeds the random election timeouts.
 	Seed uint64
 }
 
 // InitialState is what the driver recovered from stable storage.
 type InitialState struct {
 	HardState HardState
-	// Snapshot is the newest snapshot's position; zero when there is none. A
-	// new group starts with Index 0 and the first membership.
+	// Snapshot is the newest snapshot's metadata; zero if there is none. A new
+	// group starts with Index 0 and the initial membership.
 	Snapshot SnapshotMetadata
 	// Entries follow Snapshot.Index without a gap.
 	Entries []Entry
 }
 
-// SnapshotSource gives the core the newest snapshot to send to a member that
-// is behind the log's first index. It is called inside Ready and must be fast.
+// SnapshotSource returns the newest snapshot, or false if there is none. The leader
+// sends it to a member that is behind the log's first index. It is called inside
+// Ready and must be fast.
 type SnapshotSource func() (Snapshot, bool)
