--- a/internal/driver/driver.go
+++ b/internal/driver/driver.go
@@ -6,7 +6,7 @@
 	"github.com/thorntiller/thorntiller/internal/durable"
 )
 
-// Core is what the driver uses of the consensus core.
+// Core is the part of the consensus core that the driver uses.
 type Core interface {
 	Tick()
 	HasReady() bool
@@ -19,11 +19,11 @@
 	ReadIndex(context uint64) error
 }
 
-// Log is what the driver uses of the write-ahead log.
+// Log is the part of the write-ahead log that the driver uses.
 type Log interface {
-	// Save returns once what must survive a crash is on stable storage.
+	// Save returns once everything that must survive a crash is on stable storage.
 	Save(hardState *consensus.HardState, entries []consensus.Entry) error
-	// Release drops segments that hold nothing above an index.
+	// Release deletes the segments that hold no entry above index.
 	Release(index uint64) error
 }
 
@@ -34,59 +34,59 @@
 	Core        Core
 	Coordinator *coordinator.Coordinator
 	Storage     *durable.Storage
-	// Log is the log of Storage.
+	// Log is the write-ahead log of Storage.
 	Log  Log
 	Host Host
-	// FirstSequence is drawn at random at each start, below 1<<63. Proposals and
-	// read rounds are numbered from it, so that an entry or an answer of an
-	// earlier life of the process is not taken for one of this.
+	// FirstSequence is chosen at random at each start, below 1<<63. Proposals and
+	// read rounds are numbered from it, so that an entry or an answer from an
+	// earlier run of the process is not mistaken for one of this run.
 	FirstSequence uint64
-	// SnapshotEntries and SnapshotBytes are how much is applied between two
-	// snapshots. SnapshotEntries is also the tail of the log that a snapshot
-	// leaves, for members that are a little behind.
+	// SnapshotEntries and SnapshotBytes are the applied entries and bytes after
+	// which a snapshot is taken. SnapshotEntries is also the number of entries
+	// before a snapshot that stay in the log, for members that are slightly behind.
 	SnapshotEntries int
 	SnapshotBytes   int
 }
 
-// Driver drives one replica. One goroutine uses it.
+// Driver runs one replica. It is not safe for concurrent use.
 type Driver struct {
-	config      Config
-	core        Core
-	coordinator *coordinator.Coordinator
-	storage     *durable.Storage
-	host        Host
-	reads       readRounds
-	pending     pendingProposals
-	joining     joins
-	applied     uint64
-	leading     bool
-	// writing is true while a snapshot is written.
-	writing bool
+	config       Config
+	core         Core
+	coordinator  *coordinator.Coordinator
+	storage      *durable.Storage
+	host         Host
+	reads        readRounds
+	pending      pendingProposals
+	joinRequests joinRequests
+	applied      uint64
+	leading      bool
+	// writingSnapshot is true while a snapshot is written.
+	writingSnapshot bool
 }
 
-// New returns the driver of a replica whose storage was opened just now.
+// New returns the driver of a replica whose storage has just been opened.
 func New(config Config) *Driver {
 	return &Driver{
-		config:      config,
-		core:        config.Core,
-		coordinator: config.Coordinator,
-		storage:     config.Storage,
-		host:        config.Host,
-		reads:       readRounds{lastContext: config.FirstSequence},
-		pending:     newPendingProposals(config.FirstSequence),
-		joining:     make(joins),
-		applied:     config.Storage.Initial.Snapshot.Index,
+		config:       config,
+		core:         config.Core,
+		coordinator:  config.Coordinator,
+		storage:      config.Storage,
+		host:         config.Host,
+		reads:        readRounds{lastContext: config.FirstSequence},
+		pending:      newPendingProposals(config.FirstSequence),
+		joinRequests: make(joinRequests),
+		applied:      config.Storage.Initial.Snapshot.Index,
 	}
 }
 
-// Applied returns the index of the newest applied entry.
+// Applied returns the index of the last applied entry.
 func (d *Driver) Applied() uint64 { return d.applied }
 
 // Leading reports whether the replica leads and holds every acknowledged entry.
 func (d *Driver) Leading() bool { return d.leading }
 
-// Tick moves the replica's timers on. HandleReady follows it, as it follows
-// every input.
+// Tick advances the replica's timers by one tick. The caller must then call
+// HandleReady, as after every input.
 func (d *Driver) Tick() {
 	d.core.Tick()
 	d.beginReads()
@@ -105,8 +105,8 @@
 	if actions.Round == 0 {
 		return
 	}
-	// A round that cannot begin is begun again by the coordinator.
+	// The coordinator retries a round that could not be started.
 	if err := d.core.ReadIndex(coordinatorContext | actions.Round); err != nil {
-		d.host.Refused("quorum round not begun", err)
+		d.host.Refused("cannot start a quorum round; the coordinator will retry", err)
 	}
 }
--- a/internal/driver/driver_test.go
+++ b/internal/driver/driver_test.go
@@ -10,7 +10,7 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
-func want(t *testing.T, what string, got []string, wanted ...string) {
+func expectEvents(t *testing.T, what string, got []string, wanted ...string) {
 	t.Helper()
 	if !slices.Equal(got, wanted) {
 		t.Errorf("%s: %q, want %q", what, got, wanted)
@@ -18,19 +18,19 @@
 }
 
 func entries(from, to uint64) []consensus.Entry {
-	var made []consensus.Entry
+	var list []consensus.Entry
 	for index := from; index <= to; index++ {
-		made = append(made, consensus.Entry{Index: index, Term: 1})
+		list = append(list, consensus.Entry{Index: index, Term: 1})
 	}
-	return made
+	return list
 }
 
 // TestOrderOfReady: nothing is sent, applied or acknowledged before it is on
-// stable storage; a snapshot is saved and restored before what follows it;
-// entries are applied in order and the core advances after them.
+// stable storage; a snapshot is saved and restored before the entries that follow
+// it; entries are applied in order, and the core advances after that.
 func TestOrderOfReady(t *testing.T) {
 	h := newHarness(t, firstSequence)
-	h.driver.Read(func(state.Revision) { h.note("read answered") })
+	h.driver.Read(func(state.Revision) { h.record("read answered") })
 	got, err := h.handle(consensus.Ready{
 		HardState: &consensus.HardState{Term: 1}, Entries: entries(1, 2), Committed: entries(1, 2),
 		Messages: make([]consensus.Message, 3), ReadStates: []consensus.ReadState{{Context: h.rounds[0], Index: 2}},
@@ -38,7 +38,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want(t, "entries", got, "saved 2 entries", "sent 3 messages", "applied 1", "applied 2", "advanced", "read answered")
+	expectEvents(t, "entries", got, "saved 2 entries", "sent 3 messages", "applied 1", "applied 2", "advanced", "read answered")
 
 	data, err := state.New().Encode()
 	if err != nil {
@@ -50,7 +50,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want(t, "a snapshot", got, "restored at 9", "saved 0 entries", "sent 0 messages", "advanced",
+	expectEvents(t, "a snapshot", got, "restored at 9", "saved 0 entries", "sent 0 messages", "advanced",
 		"saved 1 entries", "sent 0 messages", "applied 10", "advanced")
 
 	h.saveErr = errDisk
@@ -58,11 +58,11 @@
 	if !errors.Is(err, errDisk) {
 		t.Errorf("a failed disk gives %v", err)
 	}
-	want(t, "a failed disk", got)
+	expectEvents(t, "a failed disk", got)
 }
 
-// TestSnapshotBesideTheLoop: the snapshot is of the moment at which it began,
-// one is written at a time, and the log is cut once it is saved.
+// TestSnapshotBesideTheLoop: a snapshot holds the state at the time when it was
+// started, one is written at a time, and the log is compacted once it is saved.
 func TestSnapshotBesideTheLoop(t *testing.T) {
 	h := newHarness(t, firstSequence)
 	ready := func(from, to uint64) consensus.Ready {
@@ -76,19 +76,19 @@
 	if err != nil || slices.Contains(got, "snapshot begun") {
 		t.Fatalf("while one is written: %q, %v", got, err)
 	}
-	saved := h.writing()
+	saved := h.writeSnapshot()
 	h.events = nil
 	if err := h.driver.AdoptSnapshot(saved); err != nil || saved.Snapshot.Metadata.Index != 5 {
 		t.Fatalf("snapshot at %d, %v", saved.Snapshot.Metadata.Index, err)
 	}
-	want(t, "adopted", h.events, "cut up to 2")
+	expectEvents(t, "adopted", h.events, "compacted up to 2")
 	if err := h.driver.AdoptSnapshot(SavedSnapshot{Err: errDisk}); !errors.Is(err, errDisk) {
 		t.Errorf("a snapshot that was not saved gives %v", err)
 	}
 }
 
-// TestReadRounds: a read is answered only by a round that began after it was
-// asked for, and only once the round's log index is applied.
+// TestReadRounds: a read is answered only by a round that began after the read was
+// requested, and only once the round's log index is applied.
 func TestReadRounds(t *testing.T) {
 	h := newHarness(t, firstSequence)
 	answered := 0
@@ -96,7 +96,7 @@
 	h.driver.Read(count)
 	h.driver.Read(count)
 	if len(h.rounds) != 1 {
-		t.Fatalf("%d rounds began for a read and one that came too late for it", len(h.rounds))
+		t.Fatalf("%d rounds began for a read and a second one that arrived after the round had begun", len(h.rounds))
 	}
 	confirm := func(round int, index uint64) {
 		t.Helper()
@@ -112,7 +112,7 @@
 	h.driver.beginReads()
 	confirm(1, 0)
 	if answered != 1 {
-		t.Fatal("the answer of a round that was begun again counted")
+		t.Fatal("the answer to a round that had been retried was accepted")
 	}
 	confirm(2, 1)
 	if answered != 1 {
@@ -126,8 +126,8 @@
 	}
 }
 
-// TestReadContextsOfLives: the late answer to a round of an earlier life of the
-// process answers no read of this one.
+// TestReadContextsOfLives: a late answer to a round of an earlier run of the
+// process answers no read of this run.
 func TestReadContextsOfLives(t *testing.T) {
 	earlier, later := newHarness(t, 100), newHarness(t, 200)
 	earlier.driver.Read(func(state.Revision) {})
@@ -138,8 +138,8 @@
 	}
 }
 
-// TestProposalBeforeLeadingEnds: the core takes proposals as soon as it is elected;
-// one whose leadership ends before it began here ends with its outcome open.
+// TestProposalBeforeLeadingEnds: the core accepts proposals as soon as it is elected. If
+// leadership is lost before the driver starts leading, they end with an unknown outcome.
 func TestProposalBeforeLeadingEnds(t *testing.T) {
 	h := newHarness(t, firstSequence)
 	h.status = consensus.Status{Role: consensus.RoleLeader}
@@ -149,13 +149,13 @@
 	h.status.Role = consensus.RoleFollower
 	h.driver.ObserveRole()
 	if len(ends) != 1 || !fault.Is(ends[0].Err, fault.Unavailable) {
-		t.Errorf("ends %+v, want one that is open", ends)
+		t.Errorf("outcomes %+v, want one of kind unavailable", ends)
 	}
 }
 
-// TestProposalsEnd: each proposal ends once: applied, refused, or with its
-// outcome open when the leadership is lost. An entry of another replica, or of
-// an earlier life of this one, ends none.
+// TestProposalsEnd: each proposal ends once: applied, rejected, or with an unknown
+// outcome when leadership is lost. An entry proposed by another replica, or by an
+// earlier run of this one, ends none.
 func TestProposalsEnd(t *testing.T) {
 	h := newHarness(t, firstSequence)
 	h.status = consensus.Status{Role: consensus.RoleLeader, TermCommitted: true}
@@ -185,33 +185,33 @@
 		t.Fatal(err)
 	}
 	if len(ends) != 1 || ends[0].Err != nil || ends[0].Index != 3 {
-		t.Fatalf("ends %+v, want one at index 3", ends)
+		t.Fatalf("outcomes %+v, want one at index 3", ends)
 	}
 
-	h.refusal = consensus.ErrProposalDropped
+	h.proposeErr = consensus.ErrProposalDropped
 	propose()
 	if len(ends) != 2 || !fault.Is(ends[1].Err, fault.QueueFull) {
 		t.Errorf("a full log ends a proposal with %+v", ends[1:])
 	}
-	h.refusal = nil
+	h.proposeErr = nil
 	propose()
 	h.status.Role = consensus.RoleFollower
 	h.events = nil
 	h.driver.ObserveRole()
 	h.driver.StopLeading()
-	want(t, "leadership lost", h.events, "follows")
+	expectEvents(t, "leadership lost", h.events, "follows")
 	if len(ends) != 3 || !fault.Is(ends[2].Err, fault.Unavailable) {
 		t.Errorf("lost leadership ends a proposal with %+v", ends[2:])
 	}
-	h.refusal = consensus.ErrNotLeader
+	h.proposeErr = consensus.ErrNotLeader
 	propose()
 	if len(ends) != 4 || !fault.Is(ends[3].Err, fault.NotLeader) {
 		t.Errorf("a follower ends a proposal with %+v", ends[3:])
 	}
 }
 
-// TestOutdatedProposalStaysOut: a command whose ground is gone when its turn comes does not
-// enter the log.
+// TestOutdatedProposalStaysOut: a command that is no longer valid when it is about to be
+// appended does not enter the log.
 func TestOutdatedProposalStaysOut(t *testing.T) {
 	h := newHarness(t, firstSequence)
 	h.status = consensus.Status{Role: consensus.RoleLeader, TermCommitted: true}
@@ -224,7 +224,7 @@
 		})
 	}
 	if len(ends) != 1 || !fault.Is(ends[0].Err, fault.NotLeader) {
-		t.Errorf("ends %+v, want one of kind not_leader", ends)
+		t.Errorf("outcomes %+v, want one of kind not_leader", ends)
 	}
 	if len(h.proposed) != 1 {
 		t.Errorf("%d commands entered the log, want the valid one", len(h.proposed))
--- a/internal/driver/fakes_test.go
+++ b/internal/driver/fakes_test.go
@@ -21,7 +21,8 @@
 
 var errDisk = errors.New("the disk is full")
 
-// harness is a driver with a scripted core. It notes what happens, in order.
+// harness is a driver with a scripted core. It is also the driver's Host and records
+// the events in order.
 type harness struct {
 	Host
 	driver *Driver
@@ -29,14 +30,14 @@
 	now    time.Duration
 	state  *state.State
 	status consensus.Status
-	// ready is what the core hands out next.
+	// ready holds the batches that the core returns next.
 	ready []consensus.Ready
-	// rounds has the contexts that the core was asked to confirm.
-	rounds   []uint64
-	proposed [][]byte
-	saveErr  error
-	refusal  error
-	writing  func() SavedSnapshot
+	// rounds holds the contexts passed to ReadIndex.
+	rounds        []uint64
+	proposed      [][]byte
+	saveErr       error
+	proposeErr    error
+	writeSnapshot func() SavedSnapshot
 }
 
 func newHarness(t *testing.T, first uint64) *harness {
@@ -59,11 +60,11 @@
 	return h
 }
 
-func (h *harness) note(format string, arguments ...any) {
+func (h *harness) record(format string, arguments ...any) {
 	h.events = append(h.events, fmt.Sprintf(format, arguments...))
 }
 
-// handle lets the core hand out work and returns what happened.
+// handle runs HandleReady on the given batches and returns the recorded events.
 func (h *harness) handle(ready ...consensus.Ready) ([]string, error) {
 	h.ready = ready
 	h.events = nil
@@ -71,7 +72,7 @@
 	return h.events, err
 }
 
-// recordingLog is the log under a driver.
+// recordingLog is a write-ahead log that records saves and fails with saveErr if that is set.
 type recordingLog struct {
 	Log
 	harness *harness
@@ -82,18 +83,18 @@
 		return l.harness.saveErr
 	}
 	err := l.Log.Save(hardState, entries)
-	l.harness.note("saved %d entries", len(entries))
+	l.harness.record("saved %d entries", len(entries))
 	return err
 }
 
-// scriptedCore hands out what the harness says.
+// scriptedCore is a core that returns what the harness holds.
 type scriptedCore struct {
 	Core
 	*harness
 }
 
 func (c scriptedCore) HasReady() bool           { return len(c.ready) > 0 }
-func (c scriptedCore) Advance(consensus.Ready)  { c.note("advanced") }
+func (c scriptedCore) Advance(consensus.Ready)  { c.record("advanced") }
 func (c scriptedCore) Status() consensus.Status { return c.status }
 
 func (c scriptedCore) Ready() consensus.Ready {
@@ -103,13 +104,13 @@
 }
 
 func (c scriptedCore) Compact(index uint64) error {
-	c.note("cut up to %d", index)
+	c.record("compacted up to %d", index)
 	return nil
 }
 
 func (c scriptedCore) Propose(data []byte) error {
 	c.proposed = append(c.proposed, data)
-	return c.refusal
+	return c.proposeErr
 }
 
 func (c scriptedCore) ReadIndex(context uint64) error {
@@ -119,27 +120,27 @@
 
 func (h *harness) Now() time.Duration              { return h.now }
 func (h *harness) State() *state.State             { return h.state }
-func (h *harness) Send(sent []consensus.Message)   { h.note("sent %d messages", len(sent)) }
-func (h *harness) StartedLeading(consensus.Status) { h.note("leads") }
-func (h *harness) StoppedLeading()                 { h.note("follows") }
+func (h *harness) Send(sent []consensus.Message)   { h.record("sent %d messages", len(sent)) }
+func (h *harness) StartedLeading(consensus.Status) { h.record("leads") }
+func (h *harness) StoppedLeading()                 { h.record("follows") }
 
 func (h *harness) Apply(index uint64, command state.Command) state.Result {
 	return h.state.Apply(index, command)
 }
 
 func (h *harness) Applied(entry consensus.Entry, _ state.Command, _ state.Result) {
-	h.note("applied %d", entry.Index)
+	h.record("applied %d", entry.Index)
 }
 
 func (h *harness) Restored(index uint64, restored *state.State) {
 	if newest, found := h.driver.storage.Newest(); !found || newest.Metadata.Index != index {
-		h.note("restored before it was saved")
+		h.record("restored before it was saved")
 	}
 	h.state = restored
-	h.note("restored at %d", index)
+	h.record("restored at %d", index)
 }
 
 func (h *harness) WriteSnapshot(write func() SavedSnapshot) {
-	h.writing = write
-	h.note("snapshot begun")
+	h.writeSnapshot = write
+	h.record("snapshot begun")
 }
--- a/internal/driver/host.go
+++ b/internal/driver/host.go
@@ -8,8 +8,8 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
-// Host is what the process or the simulator lends a replica. The driver calls
-// it on its own goroutine.
+// Host is the environment that the controller process or the simulator provides to
+// a replica. The driver calls it on the driver's goroutine.
 type Host interface {
 	Transport
 	StateMachine
@@ -19,53 +19,56 @@
 	Now() time.Duration
 }
 
-// Transport sends without waiting; what it cannot send is lost.
+// Transport sends without blocking; messages that it cannot send are dropped.
 type Transport interface {
-	// Send sends messages to other replicas. It must not change them.
+	// Send sends messages to other replicas. It must not modify them.
 	Send(messages []consensus.Message)
 	// SendLease sends a message to a server.
 	SendLease(message coordinator.Send)
 }
 
-// StateMachine holds the replicated state, which others may read meanwhile.
+// StateMachine holds the replicated state, which other goroutines may read concurrently.
 type StateMachine interface {
 	// State returns the state, which the driver only reads.
 	State() *state.State
-	// Apply applies the command of the log entry at an index.
+	// Apply applies the command of the log entry at index.
 	Apply(index uint64, command state.Command) state.Result
-	// Restored replaces the state by that of the leader's snapshot at an index.
+	// Restored replaces the state with that of the leader's snapshot at index.
 	Restored(index uint64, restored *state.State)
 }
 
-// SavedSnapshot is the end of one snapshot that was written.
+// SavedSnapshot is the result of writing a snapshot.
 type SavedSnapshot struct {
 	Snapshot consensus.Snapshot
 	Err      error
 }
 
-// SnapshotWriter writes one snapshot at a time, as a rule beside the loop, since
-// that takes longer than a lease with many shards.
+// SnapshotWriter writes one snapshot at a time, normally outside the driver's
+// goroutine, since with many shards writing one takes longer than a lease.
 type SnapshotWriter interface {
-	// WriteSnapshot calls write, on any goroutine, and gives what it returns to
-	// Driver.AdoptSnapshot on the driver's own, once and not before it returns.
+	// WriteSnapshot calls write, on any goroutine, and passes its result to
+	// Driver.AdoptSnapshot on the driver's goroutine, once and not before
+	// WriteSnapshot returns.
 	WriteSnapshot(write func() SavedSnapshot)
 	// AwaitSnapshot waits for the snapshot that is being written and returns it
-	// in place of giving it to AdoptSnapshot.
+	// instead of passing it to AdoptSnapshot.
 	AwaitSnapshot() SavedSnapshot
 }
 
-// Observer is told what happened.
+// Observer is notified of events.
 type Observer interface {
-	// Applied follows each applied entry. The command and the result of an entry
-	// that carries no command are zero.
+	// Applied is called after each applied entry. For an entry without a command,
+	// command and result are zero.
 	Applied(entry consensus.Entry, command state.Command, result state.Result)
-	// StartedLeading: the replica leads, and its state holds every acknowledged
-	// entry.
+	// StartedLeading is called when the replica leads and its state holds every
+	// acknowledged entry.
 	StartedLeading(status consensus.Status)
-	// StoppedLeading comes before the waiting proposals end.
+	// StoppedLeading is called when leadership ends, before the pending proposals
+	// are ended.
 	StoppedLeading()
-	// MembershipProposed: the leader asks for a change of members.
+	// MembershipProposed is called when the leader has proposed a membership change.
 	MembershipProposed(change consensus.MembershipChange)
-	// Refused: the core turned something down that is tried again later.
+	// Refused is called when the core rejected an operation that is retried later.
+	// what is a log message that names the operation.
 	Refused(what string, err error)
 }
--- a/internal/driver/leading.go
+++ b/internal/driver/leading.go
@@ -2,8 +2,9 @@
 
 import "github.com/thorntiller/thorntiller/internal/consensus"
 
-// ObserveRole starts and ends the work that only a leader does. It follows
-// HandleReady. Leading begins once the state holds every acknowledged entry.
+// ObserveRole starts and stops the leader's work after a change of role. It is
+// called after HandleReady. Leading starts once the state holds every acknowledged
+// entry.
 func (d *Driver) ObserveRole() {
 	status := d.core.Status()
 	leads := status.Role == consensus.RoleLeader && status.TermCommitted && status.Applied == status.Commit
@@ -15,20 +16,20 @@
 		d.host.StartedLeading(status)
 	case status.Role != consensus.RoleLeader:
 		d.StopLeading()
-		// The core takes proposals before leading begins here.
+		// The core accepts proposals before the driver starts leading.
 		d.dropPending()
 	}
 }
 
-// StopLeading ends the leader's work, if the replica leads, as when the process
-// stops.
+// StopLeading stops the leader's work if the replica leads. It is also called when
+// the process shuts down.
 func (d *Driver) StopLeading() {
 	if !d.leading {
 		return
 	}
 	d.leading = false
 	d.coordinator.Follow()
-	clear(d.joining)
+	clear(d.joinRequests)
 	d.host.StoppedLeading()
 	d.dropPending()
 }
--- a/internal/driver/proposal.go
+++ b/internal/driver/proposal.go
@@ -12,8 +12,9 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
-// envelope is the data of a log entry: a command and the proposer that waits
-// for its result. Its fields are a format on disk.
+// envelope is the data of a log entry: a command, with the replica and sequence
+// number of the proposal that waits for its result. It is stored on disk under
+// these field names.
 type envelope struct {
 	Replica  consensus.ReplicaID
 	Sequence uint64
@@ -36,9 +37,10 @@
 	return content, nil
 }
 
-// Outcome is the end of a proposal: applied with a result, or an error. Errors
-// of the kinds not_leader and queue_full prove that the command will not be
-// applied, one of kind unavailable leaves it open; others are the command's own.
+// Outcome is the outcome of a proposal: applied with a result, or an error. Errors
+// of the kinds not_leader and queue_full guarantee that the command will not be
+// applied; after one of kind unavailable it may or may not be. Other errors are
+// the result of the command itself.
 type Outcome struct {
 	// Index is the log index at which the command was applied, or zero.
 	Index  uint64
@@ -46,45 +48,45 @@
 	Err    error
 }
 
-// outcomeOf keeps a command without an error from becoming an error that holds
-// a nil pointer.
-func outcomeOf(index uint64, result state.Result) Outcome {
-	end := Outcome{Index: index, Result: result}
+// newOutcome returns the outcome of an applied command. It copies result.Err only if
+// that is not nil, since a nil pointer in an error interface does not equal nil.
+func newOutcome(index uint64, result state.Result) Outcome {
+	outcome := Outcome{Index: index, Result: result}
 	if result.Err != nil {
-		end.Err = result.Err
+		outcome.Err = result.Err
 	}
-	return end
+	return outcome
 }
 
-// Proposal is a command on its way through the log.
+// Proposal is a command to be replicated through the log.
 type Proposal struct {
 	Command state.Command
-	// StillValid is asked right before the command enters the log; one that is not
-	// valid any more ends with an error of kind not_leader. Nil stands for always.
+	// StillValid is called right before the command enters the log. If it returns
+	// false, the proposal ends with an error of kind not_leader. Nil means always valid.
 	StillValid func() bool
-	// Done is called once. It may propose again.
+	// Done is called once, with the outcome. It may call Propose.
 	Done func(Outcome)
 }
 
-// waitingProposal is a proposal of a caller, or one of the coordinator, which
-// has a token in place of Done.
+// waitingProposal is a proposal of a caller, or of the coordinator. The latter has a
+// token instead of Done.
 type waitingProposal struct {
 	Proposal
 	token uint64
 }
 
-// Propose appends a command to the log, or refuses it at once.
-func (d *Driver) Propose(input Proposal) {
-	d.propose(waitingProposal{Proposal: input})
+// Propose appends a command to the log, or rejects it at once.
+func (d *Driver) Propose(proposal Proposal) {
+	d.propose(waitingProposal{Proposal: proposal})
 }
 
-func (d *Driver) propose(input waitingProposal) {
-	if input.StillValid != nil && !input.StillValid() {
-		d.finish(input, Outcome{Err: fault.New(fault.NotLeader, "leadership was lost before the change entered the log")})
+func (d *Driver) propose(proposal waitingProposal) {
+	if proposal.StillValid != nil && !proposal.StillValid() {
+		d.finish(proposal, Outcome{Err: fault.New(fault.NotLeader, "leadership was lost before the change entered the log")})
 		return
 	}
-	sequence := d.pending.add(input)
-	data, err := encodeEnvelope(envelope{Replica: d.config.Self, Sequence: sequence, Command: input.Command})
+	sequence := d.pending.add(proposal)
+	data, err := encodeEnvelope(envelope{Replica: d.config.Self, Sequence: sequence, Command: proposal.Command})
 	if err == nil {
 		err = d.core.Propose(data)
 	}
@@ -92,29 +94,29 @@
 		return
 	}
 	d.pending.take(sequence)
-	d.finish(input, Outcome{Err: d.refusalOf(err)})
+	d.finish(proposal, Outcome{Err: d.rejectionError(err)})
 }
 
-// refusalOf turns the core's refusal of a proposal into an error kind. The
+// rejectionError returns the error for a proposal that the core rejected. The
 // proposal did not enter the log.
-func (d *Driver) refusalOf(err error) error {
+func (d *Driver) rejectionError(err error) error {
 	if d.core.Status().Role != consensus.RoleLeader {
 		return fault.New(fault.NotLeader, "this replica does not lead")
 	}
 	return fault.Newf(fault.QueueFull, "the log takes no more at present: %v", err)
 }
 
-// finish reports the end of a proposal to whoever waits for it.
-func (d *Driver) finish(ended waitingProposal, end Outcome) {
-	if ended.token != 0 {
-		d.coordinator.ProposalDone(ended.token)
+// finish reports a proposal's outcome to its caller or to the coordinator.
+func (d *Driver) finish(proposal waitingProposal, outcome Outcome) {
+	if proposal.token != 0 {
+		d.coordinator.ProposalDone(proposal.token)
 		return
 	}
-	ended.Done(end)
+	proposal.Done(outcome)
 }
 
-// dropPending ends every waiting proposal, in the order in which they came: its
-// outcome can no longer be learnt here.
+// dropPending ends every pending proposal, in the order of their arrival, with an
+// unknown outcome: this replica can no longer learn it.
 func (d *Driver) dropPending() {
 	lost := fault.New(fault.Unavailable, "leadership was lost before the change was acknowledged: ask again with the same identifier")
 	for _, sequence := range d.pending.sequences() {
@@ -124,8 +126,8 @@
 	}
 }
 
-// pendingProposals are the proposals of this replica that wait to be applied.
-// The core's bound on uncommitted bytes bounds them.
+// pendingProposals holds this replica's proposals that are not applied yet. The
+// core's limit on uncommitted bytes limits them.
 type pendingProposals struct {
 	lastSequence uint64
 	waiting      map[uint64]waitingProposal
--- a/internal/driver/reads.go
+++ b/internal/driver/reads.go
@@ -7,30 +7,31 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
-// coordinatorContext marks the quorum rounds of the ownership coordinator; the
-// low bits hold its round number.
+// coordinatorContext is the bit that marks the contexts of the ownership
+// coordinator's quorum rounds; the low bits hold its round number.
 const coordinatorContext = uint64(1) << 63
 
-// readRetry is how long a read round may stay unanswered before it is begun
-// again: the answer of a round may be lost with its messages.
+// readRetry is the time after which an unanswered read round is retried: its
+// messages may have been lost.
 const readRetry = 100 * time.Millisecond
 
-// maxWaitingReads bounds the reads that wait for a quorum.
+// maxWaitingReads limits the reads that wait for a quorum.
 const maxWaitingReads = 16384
 
-// Read is called with the table revision once a quorum confirmed, in a round
-// that began after the read was asked for, that no newer one was acknowledged
-// before. It is never called if no quorum does.
+// Read is a callback for a confirmed read. It is called with the table revision once
+// a quorum confirmed, in a round that began after the read was requested, that no
+// newer revision was acknowledged before the request. It is never called if no quorum
+// confirms that.
 type Read func(state.Revision)
 
-// CoordinatorRound returns the number of the coordinator's quorum round that a
-// context of Core.ReadIndex stands for, or false if it stands for reads.
+// CoordinatorRound returns the number of the coordinator's quorum round that has the
+// given Core.ReadIndex context, or false if the context belongs to a read round.
 func CoordinatorRound(context uint64) (uint64, bool) {
 	return context &^ coordinatorContext, context&coordinatorContext != 0
 }
 
-// Read asks for a confirmed revision. A read that finds too many others waiting
-// is dropped.
+// Read requests a confirmed revision. The read is dropped if too many others are
+// waiting.
 func (d *Driver) Read(done Read) {
 	if d.reads.unconfirmed() >= maxWaitingReads {
 		return
@@ -45,7 +46,7 @@
 
 func (d *Driver) confirmReads(confirmations []consensus.ReadState) {
 	for _, confirmation := range confirmations {
-		if round, coordinators := CoordinatorRound(confirmation.Context); coordinators {
+		if round, isCoordinator := CoordinatorRound(confirmation.Context); isCoordinator {
 			d.coordinator.RoundConfirmed(d.host.Now(), round)
 			continue
 		}
@@ -56,18 +57,18 @@
 	}
 }
 
-// readRounds joins reads into quorum rounds. A read joins only a round that
+// readRounds batches reads into quorum rounds. A read joins only a round that
 // begins after the read arrived.
 type readRounds struct {
 	// lastContext is the context of the newest round. None is used twice, not
 	// even across restarts.
 	lastContext uint64
-	// waiting reads belong to no round yet.
+	// waiting holds the reads that belong to no round yet.
 	waiting []Read
-	// started reads belong to the round lastContext.
+	// started holds the reads of the round lastContext.
 	started   []Read
 	startedAt time.Duration
-	// confirmed reads wait until their log index is applied.
+	// confirmed holds the reads that wait until their log index is applied.
 	confirmed []confirmedRead
 }
 
@@ -80,7 +81,8 @@
 
 func (r *readRounds) add(done Read) { r.waiting = append(r.waiting, done) }
 
-// begin starts a round when one is due.
+// begin starts a round if reads wait and the previous round was answered or is older
+// than readRetry.
 func (r *readRounds) begin(now time.Duration, readIndex func(context uint64) error) {
 	if len(r.started) > 0 && now-r.startedAt < readRetry {
 		return
@@ -92,8 +94,8 @@
 	r.waiting = nil
 	r.startedAt = now
 	r.lastContext++
-	// Without a leader there is nobody to ask; the round begins again after
-	// readRetry, until the callers give up.
+	// Without a known leader the call fails; the round is retried after readRetry,
+	// until the callers time out.
 	_ = readIndex(r.lastContext)
 }
 
@@ -107,8 +109,8 @@
 	r.started = nil
 }
 
-// finish answers the reads whose log index is applied. An answered read may ask
-// for another at once.
+// finish answers the reads whose log index is applied. A read's callback may request
+// another read.
 func (r *readRounds) finish(applied uint64, revision state.Revision) {
 	var remaining, ready []confirmedRead
 	for _, request := range r.confirmed {
--- a/internal/driver/ready.go
+++ b/internal/driver/ready.go
@@ -8,11 +8,11 @@
 )
 
 // HandleReady carries out what the core asks for, in the order that the package
-// comment gives and for its reasons. It is called after each input. After an
-// error the storage cannot be relied on: the replica must be ended.
+// comment specifies. It is called after each input. After an error the storage is
+// not reliable, and the replica must be stopped.
 func (d *Driver) HandleReady() error {
 	for d.core.HasReady() {
-		if err := d.handleOne(d.core.Ready()); err != nil {
+		if err := d.handleBatch(d.core.Ready()); err != nil {
 			return err
 		}
 	}
@@ -21,7 +21,7 @@
 	return nil
 }
 
-func (d *Driver) handleOne(ready consensus.Ready) error {
+func (d *Driver) handleBatch(ready consensus.Ready) error {
 	if ready.Snapshot != nil {
 		if err := d.restore(*ready.Snapshot); err != nil {
 			return err
@@ -41,17 +41,17 @@
 	return nil
 }
 
-// apply applies one committed entry. When it returns, it is on stable storage
-// that a change of members is committed, before the core goes by that.
+// apply applies one committed entry. For a membership change, the fact that it is
+// committed is on stable storage when apply returns, before the core relies on it.
 func (d *Driver) apply(entry consensus.Entry) error {
-	if err := d.applyContent(entry); err != nil {
+	if err := d.applyEntry(entry); err != nil {
 		return err
 	}
 	d.applied = entry.Index
 	return d.storage.Applied(entry)
 }
 
-func (d *Driver) applyContent(entry consensus.Entry) error {
+func (d *Driver) applyEntry(entry consensus.Entry) error {
 	if entry.Kind == consensus.EntryMembership || len(entry.Data) == 0 {
 		d.host.Applied(entry, state.Command{}, state.Result{})
 		return nil
@@ -67,7 +67,7 @@
 		return nil
 	}
 	if waiting, found := d.pending.take(content.Sequence); found {
-		d.finish(waiting, outcomeOf(entry.Index, result))
+		d.finish(waiting, newOutcome(entry.Index, result))
 	}
 	return nil
 }
--- a/internal/driver/settings.go
+++ b/internal/driver/settings.go
@@ -6,8 +6,8 @@
 	"github.com/thorntiller/thorntiller/internal/coordinator"
 )
 
-// ConsensusConfig returns what a controller's settings ask of the consensus
-// core. The seed is drawn at random at each start.
+// ConsensusConfig returns the consensus core's configuration from a controller's
+// settings. The seed is chosen at random at each start.
 func ConsensusConfig(settings config.Consensus, id consensus.ReplicaID, seed uint64) consensus.Config {
 	return consensus.Config{
 		ID:                  id,
@@ -21,8 +21,8 @@
 	}
 }
 
-// CoordinatorConfig returns what a controller's settings ask of the ownership
-// coordinator.
+// CoordinatorConfig returns the ownership coordinator's configuration from a
+// controller's settings.
 func CoordinatorConfig(settings config.Lease) coordinator.Config {
 	return coordinator.Config{
 		LeaseDuration:  settings.Duration,
--- a/internal/driver/snapshot.go
+++ b/internal/driver/snapshot.go
@@ -7,14 +7,14 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
-// restore replaces the state by a snapshot that the leader sent, once that is on
+// restore replaces the state with a snapshot from the leader, once that is on
 // stable storage.
 func (d *Driver) restore(received consensus.Snapshot) error {
 	restored, err := state.Decode(received.Data)
 	if err != nil {
 		return eris.Wrap(err, "decode the leader's snapshot")
 	}
-	// The store takes one snapshot at a time.
+	// The snapshot store accepts one snapshot at a time.
 	if err := d.awaitSnapshot(); err != nil {
 		return err
 	}
@@ -27,15 +27,16 @@
 }
 
 // WritingSnapshot reports whether a snapshot is being written.
-func (d *Driver) WritingSnapshot() bool { return d.writing }
+func (d *Driver) WritingSnapshot() bool { return d.writingSnapshot }
 
-// beginSnapshot begins a snapshot once enough was applied. The state is frozen
-// here; the host decides where it is encoded and written.
+// beginSnapshot starts a snapshot once enough entries or bytes were applied since the
+// last one. The state is frozen here; the host decides on which goroutine it is
+// encoded and written.
 func (d *Driver) beginSnapshot() {
-	if d.writing || !d.storage.SnapshotDue(d.config.SnapshotEntries, d.config.SnapshotBytes) {
+	if d.writingSnapshot || !d.storage.SnapshotDue(d.config.SnapshotEntries, d.config.SnapshotBytes) {
 		return
 	}
-	d.writing = true
+	d.writingSnapshot = true
 	d.storage.BeginSnapshot()
 	frozen := d.host.State().Freeze()
 	metadata := consensus.SnapshotMetadata{
@@ -47,7 +48,8 @@
 	})
 }
 
-// saveSnapshot runs on any goroutine: it touches the store alone.
+// saveSnapshot may run on any goroutine: it uses nothing of the driver but the
+// snapshot store.
 func (d *Driver) saveSnapshot(frozen *state.Frozen, metadata consensus.SnapshotMetadata) (consensus.Snapshot, error) {
 	data, err := frozen.Encode()
 	if err != nil {
@@ -58,15 +60,15 @@
 }
 
 func (d *Driver) awaitSnapshot() error {
-	if !d.writing {
+	if !d.writingSnapshot {
 		return nil
 	}
 	return d.AdoptSnapshot(d.host.AwaitSnapshot())
 }
 
-// AdoptSnapshot takes a saved snapshot into use and cuts the log.
+// AdoptSnapshot makes a saved snapshot the newest one and compacts the log.
 func (d *Driver) AdoptSnapshot(saved SavedSnapshot) error {
-	d.writing = false
+	d.writingSnapshot = false
 	if saved.Err != nil {
 		return saved.Err
 	}
@@ -76,8 +78,8 @@
 	return d.compact(saved.Snapshot.Metadata.Index)
 }
 
-// compact drops the log up to the snapshot but for a tail that serves members
-// which are a little behind.
+// compact drops the log entries up to the snapshot, except the last SnapshotEntries,
+// which are kept for members that are slightly behind.
 func (d *Driver) compact(index uint64) error {
 	keep := uint64(d.config.SnapshotEntries)
 	if index <= keep {
