--- a/internal/controller/heartbeats_test.go
+++ b/internal/controller/heartbeats_test.go
@@ -135,7 +135,7 @@
 		settings := config.DefaultController()
 		settings.Controllers = make([]config.ControllerPeer, 3)
 		running := clock.NewSystem()
-		r := &replica{settings: settings, clock: running, state: state.New(), reads: make(chan driver.Read, 1), turns: newTurnWatch(running, settings)}
+		r := &replica{settings: settings, clock: running, state: state.New(), reads: make(chan driver.ReadFunc, 1), turns: newTurnWatch(running, settings)}
 		r.published.Store(&published{leading: true})
 		var lose context.CancelFunc
 		r.leadership, lose = context.WithCancel(t.Context())
--- a/internal/controller/replica.go
+++ b/internal/controller/replica.go
@@ -81,7 +81,7 @@
 
 	inbox     chan consensus.Message
 	proposals chan driver.Proposal
-	reads     chan driver.Read
+	reads     chan driver.ReadFunc
 	results   chan leaseResult
 	joinInbox chan consensus.Member
 	transfers chan chan error
@@ -128,7 +128,7 @@
 		coordinator: coordinator.New(driver.CoordinatorConfig(settings.Lease)),
 		inbox:       make(chan consensus.Message, inboxSize),
 		proposals:   make(chan driver.Proposal, proposalsSize),
-		reads:       make(chan driver.Read, readsSize),
+		reads:       make(chan driver.ReadFunc, readsSize),
 		results:     make(chan leaseResult, resultsSize),
 		joinInbox:   make(chan consensus.Member, 1),
 		transfers:   make(chan chan error),
--- a/internal/driver/reads.go
+++ b/internal/driver/reads.go
@@ -18,11 +18,11 @@
 // maxWaitingReads limits the reads that wait for a quorum.
 const maxWaitingReads = 16384
 
-// Read is a callback for a confirmed read. It is called with the table revision once
+// ReadFunc is a callback for a confirmed read. It is called with the table revision once
 // a quorum confirmed, in a round that began after the read was requested, that no
 // newer revision was acknowledged before the request. It is never called if no quorum
 // confirms that.
-type Read func(state.Revision)
+type ReadFunc func(state.Revision)
 
 // CoordinatorRound returns the number of the coordinator's quorum round that has the
 // given Core.ReadIndex context, or false if the context belongs to a read round.
@@ -32,7 +32,7 @@
 
 // Read requests a confirmed revision. The read is dropped if too many others are
 // waiting.
-func (d *Driver) Read(done Read) {
+func (d *Driver) Read(done ReadFunc) {
 	if d.reads.unconfirmed() >= maxWaitingReads {
 		return
 	}
@@ -64,22 +64,22 @@
 	// even across restarts.
 	lastContext uint64
 	// waiting holds the reads that belong to no round yet.
-	waiting []Read
+	waiting []ReadFunc
 	// started holds the reads of the round lastContext.
-	started   []Read
+	started   []ReadFunc
 	startedAt time.Duration
 	// confirmed holds the reads that wait until their log index is applied.
 	confirmed []confirmedRead
 }
 
 type confirmedRead struct {
-	done  Read
+	done  ReadFunc
 	index uint64
 }
 
 func (r *readRounds) unconfirmed() int { return len(r.waiting) + len(r.started) }
 
-func (r *readRounds) add(done Read) { r.waiting = append(r.waiting, done) }
+func (r *readRounds) add(done ReadFunc) { r.waiting = append(r.waiting, done) }
 
 // begin starts a round if reads wait and the previous round was answered or is older
 // than readRetry.
--- a/internal/lab/sim/ready.go
+++ b/internal/lab/sim/ready.go
@@ -36,7 +36,7 @@
 }
 
 // readRevision asks for a confirmed revision.
-func (r *replica) readRevision(done driver.Read) {
+func (r *replica) readRevision(done driver.ReadFunc) {
 	asked := r.sim.queue.Now()
 	r.driver.Read(func(revision state.Revision) {
 		r.sim.checker.Read(r.owner.name(), asked, revision)
