--- a/internal/controller/host.go
+++ b/internal/controller/host.go
@@ -41,8 +41,8 @@
 	return h.history.Apply(h.state, index, command)
 }
 
-// Restored implements driver.StateMachine.
-func (h *host) Restored(index uint64, restored *state.State) {
+// Restore implements driver.StateMachine.
+func (h *host) Restore(index uint64, restored *state.State) {
 	h.stateLock.Lock()
 	h.state = restored
 	h.stateLock.Unlock()
--- a/internal/driver/fakes_test.go
+++ b/internal/driver/fakes_test.go
@@ -132,7 +132,7 @@
 	h.record("applied %d", entry.Index)
 }
 
-func (h *harness) Restored(index uint64, restored *state.State) {
+func (h *harness) Restore(index uint64, restored *state.State) {
 	if newest, found := h.driver.storage.Newest(); !found || newest.Metadata.Index != index {
 		h.record("restored before it was saved")
 	}
--- a/internal/driver/host.go
+++ b/internal/driver/host.go
@@ -33,8 +33,8 @@
 	State() *state.State
 	// Apply applies the command of the log entry at index.
 	Apply(index uint64, command state.Command) state.Result
-	// Restored replaces the state with that of the leader's snapshot at index.
-	Restored(index uint64, restored *state.State)
+	// Restore replaces the state with that of the leader's snapshot at index.
+	Restore(index uint64, restored *state.State)
 }
 
 // SavedSnapshot is the result of writing a snapshot.
--- a/internal/driver/snapshot.go
+++ b/internal/driver/snapshot.go
@@ -22,7 +22,7 @@
 		return err
 	}
 	d.applied = received.Metadata.Index
-	d.host.Restored(d.applied, restored)
+	d.host.Restore(d.applied, restored)
 	return nil
 }
 
--- a/internal/lab/sim/host.go
+++ b/internal/lab/sim/host.go
@@ -91,8 +91,8 @@
 	return result
 }
 
-// Restored implements driver.StateMachine.
-func (h *host) Restored(index uint64, restored *state.State) {
+// Restore implements driver.StateMachine.
+func (h *host) Restore(index uint64, restored *state.State) {
 	h.state = restored
 	h.history.Reset(restored.Revision())
 	h.sim.counts.Snapshots++
