--- a/internal/controller/heartbeats_test.go
+++ b/internal/controller/heartbeats_test.go
@@ -134,7 +134,7 @@
 		settings := config.DefaultController()
 		settings.Controllers = make([]config.ControllerPeer, 3)
 		system := clock.NewSystem()
-		r := &replica{settings: settings, clock: system, state: state.New(), reads: make(chan driver.Read, 1), watchdog: newLoopWatchdog(system, settings)}
+		r := &replica{settings: settings, clock: system, state: state.New(), reads: make(chan driver.ReadFunc, 1), watchdog: newLoopWatchdog(system, settings)}
 		r.published.Store(&published{leading: true})
 		var endLeadership context.CancelFunc
 		r.leadership, endLeadership = context.WithCancel(t.Context())
