--- a/internal/directory/changelog.go
+++ b/internal/directory/changelog.go
@@ -2,44 +2,46 @@
 
 import "slices"
 
-// changeLogSize bounds the changes of instances that are remembered: more than come within
-// a second when thousands of them register, and some 200 KB.
-const changeLogSize = 4096
+// maxChangeLogEntries bounds the changes of instances in the log. It is more than arrive within a
+// second while thousands of instances register, and takes about 200 KB.
+const maxChangeLogEntries = 4096
 
-// changeLog remembers which instances changed last, so that what changed since a revision is
-// found without a look at all of them: with 10,000 instances that is the difference between
-// 2 ms and some microseconds for each update of each stream.
+// changeLog records the latest changes of instances, so that the changes since a revision are found
+// without a scan of all instances: with 10,000 instances this takes a few microseconds instead of 2
+// ms for each update of each stream.
 type changeLog struct {
-	entries []changedInstance
-	// completeAfter is the revision after which every change is among the entries.
+	entries []changeLogEntry
+	// completeAfter is the revision after which every change is in entries.
 	completeAfter Revision
 }
 
-type changedInstance struct {
+type changeLogEntry struct {
 	revision Revision
 	id       InstanceID
 }
 
-// add notes a change. The entries are never changed in place, so that a clone stays as it is.
+// add records a change. Existing entries are never modified in place, so that a clone does not
+// change.
 func (l *changeLog) add(revision Revision, id InstanceID) {
-	if len(l.entries) >= changeLogSize {
+	if len(l.entries) >= maxChangeLogEntries {
 		dropped := len(l.entries) / 2
 		for _, entry := range l.entries[:dropped] {
 			l.completeAfter = max(l.completeAfter, entry.revision)
 		}
 		l.entries = slices.Clone(l.entries[dropped:])
 	}
-	l.entries = append(l.entries, changedInstance{revision: revision, id: id})
+	l.entries = append(l.entries, changeLogEntry{revision: revision, id: id})
 }
 
-// clone returns a copy to which changes may be added apart.
+// clone returns a copy to which changes can be added independently.
 func (l *changeLog) clone() changeLog {
 	return changeLog{entries: slices.Clip(l.entries), completeAfter: l.completeAfter}
 }
 
-// since returns the instances that changed after a revision, each once and in order, or false
-// if not all changes since then are remembered. Entries do not stand in the order of their
-// revisions: a whole directory and a frame of changes are taken by identifier.
+// since returns the instances that changed after a revision, without duplicates and sorted by
+// identifier, or false if the log does not reach back that far. Entries are not in the order of
+// their revisions, because a full directory and a set of changes are merged in the order of
+// identifiers.
 func (l *changeLog) since(after Revision) ([]InstanceID, bool) {
 	if after < l.completeAfter {
 		return nil, false
@@ -54,8 +56,8 @@
 	return slices.Compact(changed), true
 }
 
-// ChangedInstances returns the instances that changed after a revision, each once and in order,
-// or false if there were too many to remember.
+// ChangedInstances returns the instances that changed after a revision, without duplicates and
+// sorted by identifier, or false if there were too many changes for the log.
 func (d *Directory) ChangedInstances(after Revision) ([]InstanceID, bool) {
 	return d.changes.since(after)
 }
--- a/internal/directory/changelog_test.go
+++ b/internal/directory/changelog_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// TestChangesSinceAnyRevision: a directory that was restored, or taken from a stream, tells what
-// changed since each earlier revision as one that looks at every instance does: those who follow
-// it may stand at any revision.
+// TestChangesSinceAnyRevision checks that a directory that was restored, or received by a stream,
+// returns the same changes since each earlier revision as a scan of all instances: followers may be
+// at any revision.
 func TestChangesSinceAnyRevision(t *testing.T) {
 	random := rand.New(rand.NewPCG(2, 2))
 	origin := New()
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -7,38 +7,39 @@
 	"sync/atomic"
 )
 
-// Directory is not safe for concurrent use. Its objects are replaced and never
-// changed, so that a Clone stays as it is.
+// Directory is the replicated routing state. It is not safe for concurrent use. Its objects are
+// replaced and never modified, so that a Clone does not change.
 type Directory struct {
 	revision Revision
 	items    map[ItemKey]*Item
 	// itemsRevision is the revision of the newest change of an item.
 	itemsRevision Revision
-	// services has the items of the kind service that stand, decoded.
+	// services has the decoded items of kind service that are not dropped.
 	services map[string]Service
-	// tenants has the items of the kind tenant that stand, decoded.
+	// tenants has the decoded items of kind tenant that are not dropped.
 	tenants   map[string]Tenant
 	instances map[InstanceID]*Instance
-	// ordered has the instances by identifier.
-	ordered []*Instance
-	// byAddress has the instances that are at each address, or were until they left. The
-	// lists are replaced and never changed.
+	// sortedInstances has all instances, sorted by identifier.
+	sortedInstances []*Instance
+	// byAddress has, for each address, the instances that use it or used it until they left. The
+	// lists are replaced and never modified.
 	byAddress map[string][]InstanceID
-	// byServer has the lives of each server, in lists of the same kind.
+	// byServer has the incarnations of each server. Its lists are never modified either.
 	byServer map[string][]InstanceID
 	layouts  map[string]*Layout
-	// zones are those that were evacuated at some time, by name.
+	// zones has the zones that have ever been evacuated, by name.
 	zones map[string]*Zone
-	// throttles are those of each service with hot keys.
+	// throttles has the throttles of each service with hot keys.
 	throttles map[string]*Throttles
-	// suspects are the requests under which instances crashed.
+	// suspects are the requests that were in flight at instances when these crashed.
 	suspects Suspects
-	// changes are the newest changes of instances, and gone counts those that left.
-	changes changeLog
-	gone    int
-	// references finds the instances by their references; nil until it is asked for.
-	references atomic.Pointer[references]
-	// fleet is how many gateways share the instances, zero while it is not known.
+	// changes is the log of the newest changes of instances; goneCount is the number of instances
+	// in state gone.
+	changes   changeLog
+	goneCount int
+	// references is the index of instances by reference; nil until it is first used.
+	references atomic.Pointer[referenceIndex]
+	// fleet has the number of gateways and the keepers among them.
 	fleet Fleet
 }
 
@@ -57,29 +58,29 @@
 	}
 }
 
-// Command changes the directory; exactly one field is set.
+// Command is a change of the directory; exactly one field is set.
 type Command struct {
 	Patch     *Patch     `msgpack:"p,omitempty"`
 	Instances []Instance `msgpack:"i,omitempty"`
 	Layout    *PutLayout `msgpack:"l,omitempty"`
-	// Times are service times that were measured anew.
+	// Times are new measurements of service times.
 	Times []InstanceTime `msgpack:"t,omitempty"`
-	// Zone is evacuated or restored.
+	// Zone is the zone to evacuate or restore.
 	Zone *Zone `msgpack:"z,omitempty"`
-	// Throttles replace those of a service.
+	// Throttles replace all throttles of a service.
 	Throttles *Throttles `msgpack:"h,omitempty"`
-	// Gateways is how many of them share the instances.
+	// Gateways is the number of gateways that share the instances.
 	Gateways int `msgpack:"g,omitempty"`
-	// Keepers are the gateways that give out the places of instances.
+	// Keepers replace the gateways that allocate slots of instances.
 	Keepers []Keeper `msgpack:"k,omitempty"`
-	// Suspects replace those that are known, and Release takes one out of quarantine.
+	// Suspects replace all suspects. Release is the request to release from quarantine.
 	Suspects *PutSuspects `msgpack:"u,omitempty"`
 	Release  *Fingerprint `msgpack:"e,omitempty"`
-	// Batch has commands that are applied in their order, each as if it stood alone.
+	// Batch has commands that are applied in order, each as if it were sent alone.
 	Batch []Command `msgpack:"b,omitempty"`
 }
 
-// Joined returns one command for several; the only one as it is.
+// Joined combines commands into one. A single command is returned unchanged.
 func Joined(commands []Command) Command {
 	if len(commands) == 1 {
 		return commands[0]
@@ -87,8 +88,8 @@
 	return Command{Batch: commands}
 }
 
-// Apply executes the command that stands at a log index. An error means that
-// nothing changed, or for a batch, that one of its commands changed nothing.
+// Apply executes the command at a log index. An error means that nothing changed or, for a batch,
+// that at least one of its commands changed nothing.
 func (d *Directory) Apply(revision Revision, command Command) error {
 	switch {
 	case command.Batch != nil:
@@ -122,7 +123,7 @@
 	}
 }
 
-// applyBatch applies each command, and returns the first error.
+// applyBatch applies each command, also after one failed, and returns the first error.
 func (d *Directory) applyBatch(revision Revision, commands []Command) error {
 	var first error
 	for _, command := range commands {
@@ -136,30 +137,30 @@
 // Revision returns the revision of the newest change.
 func (d *Directory) Revision() Revision { return d.revision }
 
-// Clone returns a copy that shares the objects.
+// Clone returns a copy that shares the objects, which are never modified.
 func (d *Directory) Clone() *Directory {
 	clone := &Directory{
-		revision:      d.revision,
-		items:         maps.Clone(d.items),
-		itemsRevision: d.itemsRevision,
-		services:      maps.Clone(d.services),
-		tenants:       maps.Clone(d.tenants),
-		instances:     maps.Clone(d.instances),
-		byAddress:     maps.Clone(d.byAddress),
-		byServer:      maps.Clone(d.byServer),
-		ordered:       slices.Clone(d.ordered),
-		layouts:       maps.Clone(d.layouts),
-		zones:         maps.Clone(d.zones),
-		fleet:         d.fleet,
-		throttles:     maps.Clone(d.throttles),
-		suspects:      d.suspects,
+		revision:        d.revision,
+		items:           maps.Clone(d.items),
+		itemsRevision:   d.itemsRevision,
+		services:        maps.Clone(d.services),
+		tenants:         maps.Clone(d.tenants),
+		instances:       maps.Clone(d.instances),
+		byAddress:       maps.Clone(d.byAddress),
+		byServer:        maps.Clone(d.byServer),
+		sortedInstances: slices.Clone(d.sortedInstances),
+		layouts:         maps.Clone(d.layouts),
+		zones:           maps.Clone(d.zones),
+		fleet:           d.fleet,
+		throttles:       maps.Clone(d.throttles),
+		suspects:        d.suspects,
 	}
-	clone.changes, clone.gone = d.changes.clone(), d.gone
+	clone.changes, clone.goneCount = d.changes.clone(), d.goneCount
 	return clone
 }
 
-// Content is what changed in a directory after one revision, up to another. It is
-// also the form in which a whole directory is saved.
+// Content has the changes of a directory after one revision, up to another. It is also the form in
+// which a whole directory is saved.
 type Content struct {
 	From      Revision   `msgpack:"f,omitempty"`
 	To        Revision   `msgpack:"t"`
@@ -169,13 +170,13 @@
 	Layouts []Layout `msgpack:"l,omitempty"`
 	Zones   []Zone   `msgpack:"z,omitempty"`
 	Fleet   *Fleet   `msgpack:"g,omitempty"`
-	// Throttles are whole lists of services.
+	// Throttles are complete: each has all throttles of its service.
 	Throttles []Throttles `msgpack:"h,omitempty"`
-	// Suspects are all of them.
+	// Suspects is the complete list; nil if it did not change.
 	Suspects *Suspects `msgpack:"u,omitempty"`
 }
 
-// Since returns what changed after a revision; zero gives everything.
+// Since returns the changes after a revision; zero returns everything.
 func (d *Directory) Since(after Revision) Content {
 	changes := d.sinceWithoutLayouts(after)
 	for _, layout := range d.layouts {
@@ -187,7 +188,7 @@
 	return changes
 }
 
-// sinceWithoutLayouts returns what changed after a revision but the holders of keys.
+// sinceWithoutLayouts returns the changes after a revision, without the owners of keys.
 func (d *Directory) sinceWithoutLayouts(after Revision) Content {
 	changes := Content{From: after, To: d.revision}
 	if d.itemsRevision > after {
@@ -216,11 +217,11 @@
 	return changes
 }
 
-// instancesSince returns the instances that changed after a revision, by identifier.
+// instancesSince returns the instances that changed after a revision, sorted by identifier.
 func (d *Directory) instancesSince(after Revision) []Instance {
 	var changed []Instance
-	ids, known := d.changes.since(after)
-	if !known || after == 0 {
+	ids, complete := d.changes.since(after)
+	if !complete || after == 0 {
 		for instance := range d.EachInstance() {
 			if instance.changedAt() > after {
 				changed = append(changed, instance)
@@ -236,27 +237,27 @@
 	return changed
 }
 
-// Take adds changes to the directory. Objects that are not newer than those held
-// change nothing, so that changes may come twice.
+// Take merges changes into the directory. Objects that are not newer than the current ones are
+// ignored, so that the same changes may arrive twice.
 func (d *Directory) Take(changes Content) {
 	for _, item := range changes.Items {
-		if held, found := d.items[item.Key]; !found || item.Revision > held.Revision {
+		if current, found := d.items[item.Key]; !found || item.Revision > current.Revision {
 			d.putItem(item)
 		}
 	}
 	for _, instance := range changes.Instances {
-		if held, found := d.instances[instance.ID]; !found || instance.changedAt() > held.changedAt() {
-			d.keepInstance(instance)
+		if current, found := d.instances[instance.ID]; !found || instance.changedAt() > current.changedAt() {
+			d.storeInstance(instance)
 		}
 	}
 	for _, layout := range changes.Layouts {
-		if held := d.Layout(layout.Service); layout.Revision > held.Revision {
-			layout.Holdings = overlay(held.Holdings, layout.Holdings)
+		if current := d.Layout(layout.Service); layout.Revision > current.Revision {
+			layout.Holdings = overlay(current.Holdings, layout.Holdings)
 			d.layouts[layout.Service] = &layout
 		}
 	}
 	for _, zone := range changes.Zones {
-		if held, found := d.zones[zone.Name]; !found || zone.Revision > held.Revision {
+		if current, found := d.zones[zone.Name]; !found || zone.Revision > current.Revision {
 			d.zones[zone.Name] = &zone
 		}
 	}
@@ -272,5 +273,5 @@
 		d.suspects = *changes.Suspects
 	}
 	d.revision = max(d.revision, changes.To)
-	d.forgetGone()
+	d.pruneGoneInstances()
 }
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -18,14 +18,14 @@
 	"github.com/thorntiller/thorntiller/internal/fault"
 )
 
-const firstItems = `{"set":{
+const initialItems = `{"set":{
 	"routes":[
 		{"name":"r1","host":"a.example","prefix":"/x/","kind":"repeatable","timeout_ms":800,"target_latency_ms":300,"priority":2,"split":[{"service":"s1","weight":90},{"service":"s2","weight":10}],"max_attempts":2,"version":7},
 		{"name":"r2","host":"a.example","prefix":"/y/","kind":"at_most_once","timeout_ms":800,"target_latency_ms":300,"priority":1,"service":"s2","max_attempts":2,"version":7}],
 	"services":[{"name":"s1","keyed":true,"version":7},{"name":"s2","version":7}],
 	"limits":{"max_header_bytes":16384,"version":7}},"remove":{"routes":[]}}`
 
-func apply(t *testing.T, d *Directory, revision Revision, body string) error {
+func applyPatchBody(t *testing.T, d *Directory, revision Revision, body string) error {
 	t.Helper()
 	patch, err := ReadPatch([]byte(body))
 	if err != nil {
@@ -34,17 +34,17 @@
 	return d.Apply(revision, Command{Patch: &patch})
 }
 
-func configured(t *testing.T) *Directory {
+func newConfigured(t *testing.T) *Directory {
 	t.Helper()
 	d := New()
-	if err := apply(t, d, 1, firstItems); err != nil {
+	if err := applyPatchBody(t, d, 1, initialItems); err != nil {
 		t.Fatal(err)
 	}
 	return d
 }
 
-// TestInvalidPatchesChangeNothing: each error names the item and the field, and
-// leaves the directory as it was.
+// TestInvalidPatchesChangeNothing checks that each error names the item or the field, and that the
+// directory is unchanged.
 func TestInvalidPatchesChangeNothing(t *testing.T) {
 	route := func(change string) string {
 		fields := map[string]any{"name": "r3", "host": "a.example", "prefix": "/z/", "kind": "repeatable", "timeout_ms": 800,
@@ -59,8 +59,8 @@
 		return `{"set":{"routes":[` + string(content) + `]}}`
 	}
 	cases := map[string]struct{ body, names string }{
-		"cut short":           {firstItems[:len(firstItems)/2], "body"},
-		"two values":          {firstItems + "{}", "body"},
+		"cut short":           {initialItems[:len(initialItems)/2], "body"},
+		"two values":          {initialItems + "{}", "body"},
 		"unknown service":     {route(`{"service":"s9"}`), `"s9"`},
 		"unknown part":        {route(`{"split":[{"service":"s1","weight":1},{"service":"s9","weight":1}]}`), `"s9"`},
 		"no weight":           {route(`{"split":[{"service":"s1","weight":0},{"service":"s2","weight":0}]}`), "split"},
@@ -77,9 +77,9 @@
 			{"name":"r3","host":"","prefix":"/z/","kind":"repeatable","service":"s1","max_attempts":2,"version":9}]}}`, `"r3"`},
 	}
 	for name, c := range cases {
-		d := configured(t)
+		d := newConfigured(t)
 		before := d.Since(0)
-		err := apply(t, d, 2, c.body)
+		err := applyPatchBody(t, d, 2, c.body)
 		if !fault.Is(err, fault.InvalidArgument) || !strings.Contains(err.Error(), c.names) {
 			t.Errorf("%s: error %v, want one that names %s", name, err, c.names)
 		}
@@ -87,21 +87,21 @@
 			t.Errorf("%s: the directory changed", name)
 		}
 	}
-	d := configured(t)
-	if err := apply(t, d, 2, route(`{"target_latency_ms":60799}`)); err != nil {
+	d := newConfigured(t)
+	if err := applyPatchBody(t, d, 2, route(`{"target_latency_ms":60799}`)); err != nil {
 		t.Errorf("a target just below the bound: %v", err)
 	}
 }
 
-// TestHighestVersionHolds: an older or equal version changes nothing, whether it
-// sets or drops, and is acknowledged again.
+// TestHighestVersionHolds checks that a command with an older or equal version, to set or to drop
+// an item, changes nothing and is acknowledged without an error.
 func TestHighestVersionHolds(t *testing.T) {
 	set := func(version, timeout string) string {
 		return `{"set":{"routes":[{"name":"r1","host":"a.example","prefix":"/x/","kind":"repeatable","timeout_ms":` + timeout +
 			`,"service":"s1","max_attempts":2,"version":` + version + `}]}}`
 	}
 	drop := func(version string) string { return `{"remove":{"routes":[{"name":"r1","version":` + version + `}]}}` }
-	d := configured(t)
+	d := newConfigured(t)
 	steps := []struct {
 		body, timeout string
 		version       uint64
@@ -117,7 +117,7 @@
 		{set("9", "900"), "1200", 12, false},
 	}
 	for number, step := range steps {
-		if err := apply(t, d, Revision(number+2), step.body); err != nil {
+		if err := applyPatchBody(t, d, Revision(number+2), step.body); err != nil {
 			t.Fatalf("step %d: %v", number, err)
 		}
 		item := d.items[ItemKey{KindRoute, "r1"}]
@@ -127,11 +127,11 @@
 	}
 }
 
-// TestItemsAreReadAsSent: fields that the product does not know come back, too.
+// TestItemsAreReadAsSent checks that fields that this version does not know are preserved.
 func TestItemsAreReadAsSent(t *testing.T) {
 	d := New()
-	body := strings.Replace(firstItems, `"name":"s2"`, `"name":"s2","color":"green"`, 1)
-	if err := apply(t, d, 1, body); err != nil {
+	body := strings.Replace(initialItems, `"name":"s2"`, `"name":"s2","color":"green"`, 1)
+	if err := applyPatchBody(t, d, 1, body); err != nil {
 		t.Fatal(err)
 	}
 	var sent PatchBody
@@ -149,10 +149,10 @@
 	}
 }
 
-// TestChangesLeadOn: what Since gives, encoded and taken in order, makes the same
-// directory, also when it comes twice.
+// TestChangesLeadOn checks that a directory that merges the encoded results of Since in order
+// becomes equal to the source, also if each arrives twice.
 func TestChangesLeadOn(t *testing.T) {
-	d := configured(t)
+	d := newConfigured(t)
 	copied := New()
 	take := func() {
 		t.Helper()
@@ -185,11 +185,11 @@
 		t.Errorf("copied %+v, want %+v", got, want)
 	}
 	if replaced, _ := copied.Instance("i1"); replaced.State != InstanceGone || !replaced.Ended {
-		t.Errorf("an instance whose address another one has is %+v", replaced)
+		t.Errorf("an instance whose address was taken over by another one is %+v", replaced)
 	}
 }
 
-// TestGoneInstancesStayGone: a late heartbeat brings none back.
+// TestGoneInstancesStayGone checks that a late heartbeat does not bring an instance back.
 func TestGoneInstancesStayGone(t *testing.T) {
 	d := New()
 	ready := Instance{ID: "i1", Service: "s", Address: "127.0.0.1:1", State: InstanceReady}
@@ -205,8 +205,8 @@
 	}
 }
 
-// TestLayoutsKeepTheFenceInvariant: over random layouts, one is taken only if no
-// key's fence falls and each key that gets an owner gets a higher fence.
+// TestLayoutsKeepTheFenceInvariant checks over random layouts that one is accepted if and only if
+// no key's fence decreases and each key that gets an owner gets a higher fence.
 func TestLayoutsKeepTheFenceInvariant(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(5)
 	parameters.MinSuccessfulTests = 300
@@ -217,7 +217,7 @@
 			before := d.Layout("s")
 			next := randomLayout(seed)
 			err := d.Apply(Revision(step+1), Command{Layout: &PutLayout{Service: "s", Changed: next.Holdings, After: before.Revision}})
-			if (err == nil) != lawful(before, next) {
+			if (err == nil) != keepsFenceInvariant(before, next) {
 				return false
 			}
 		}
@@ -239,8 +239,8 @@
 	return Layout{Service: "s", Holdings: []Holding{holding(0, middle), holding(middle+1, MaxKey)}}
 }
 
-// lawful states the invariant key by key.
-func lawful(before, next Layout) bool {
+// keepsFenceInvariant checks the invariant key by key.
+func keepsFenceInvariant(before, next Layout) bool {
 	for _, key := range []Key{0, 1, 2, 1000, 1001, 1002, 2000, 2001, 2002, MaxKey} {
 		earlier, found := before.At(key)
 		later, _ := next.At(key)
@@ -255,8 +255,8 @@
 	return true
 }
 
-// TestStaleLayoutIsRefused: a layout that was made from another one than is held
-// changes nothing.
+// TestStaleLayoutIsRefused checks that a layout based on another revision than the current one
+// changes nothing; invalid ranges are rejected, too.
 func TestStaleLayoutIsRefused(t *testing.T) {
 	d := New()
 	whole := []Holding{{Last: MaxKey, Fence: 1, Owner: "a"}}
@@ -282,7 +282,7 @@
 	}
 }
 
-// TestBatchAppliesEachCommand: a command that is refused takes nothing from the others.
+// TestBatchAppliesEachCommand checks that a rejected command does not affect the others.
 func TestBatchAppliesEachCommand(t *testing.T) {
 	d := New()
 	stale := Command{Layout: &PutLayout{Service: "s", After: 7, Changed: []Holding{{First: 0, Last: MaxKey, Fence: 1, Owner: "a"}}}}
@@ -299,8 +299,8 @@
 	}
 }
 
-// TestTimesChangeNothingElse: a service time is taken for an instance that is there, and
-// brings none back that has left.
+// TestTimesChangeNothingElse checks that a service time is stored only for an instance that is not
+// gone, changes nothing else, and creates or restores no instance.
 func TestTimesChangeNothingElse(t *testing.T) {
 	d := New()
 	there := Instance{ID: "a", Service: "s", Address: "1", Slots: 2, State: InstanceDraining}
@@ -318,15 +318,15 @@
 		t.Errorf("got %+v, want %+v", got, there)
 	}
 	if gone, _ := d.Instance("b"); gone.ServiceTime != 0 || gone.State != InstanceGone {
-		t.Errorf("one that has left is %+v", gone)
+		t.Errorf("an instance that is gone is %+v", gone)
 	}
 	if _, found := d.Instance("c"); found {
-		t.Error("an instance that nobody knows came by its service time")
+		t.Error("a service time created an unknown instance")
 	}
 }
 
-// TestInstancesAtTheirAddresses: over random changes each address has the instances that
-// say so, also in a copy and after those that left first are forgotten.
+// TestInstancesAtTheirAddresses checks over random changes that each address lists exactly its
+// instances, also in a clone and after instances that are gone were deleted.
 func TestInstancesAtTheirAddresses(t *testing.T) {
 	random := rand.New(rand.NewPCG(5, 6))
 	d := New()
--- a/internal/directory/fleet.go
+++ b/internal/directory/fleet.go
@@ -2,27 +2,27 @@
 
 import "slices"
 
-// Fleet is what the gateways know of each other.
+// Fleet describes the gateways that share the instances.
 type Fleet struct {
-	// Gateways is how many share the instances: what an instance may get from all of them
-	// together is divided by their number.
+	// Gateways is their number: the capacity of an instance for all gateways is divided by it. Zero
+	// while it is not known.
 	Gateways int `msgpack:"g"`
-	// Keepers are the gateways that give out the places of instances.
+	// Keepers are the gateways that allocate slots of instances.
 	Keepers  []Keeper `msgpack:"k,omitempty"`
 	Revision Revision `msgpack:"r"`
 }
 
-// Keeper is a gateway that gives out the places of instances.
+// Keeper is a gateway that allocates slots of instances; see package room.
 type Keeper struct {
-	// Address is where other gateways ask it, IP:port.
+	// Address is the IP:port that accepts the requests of other gateways for slots.
 	Address string `msgpack:"a"`
 	Zone    string `msgpack:"z"`
 }
 
-// Gateways returns how many gateways share the instances, zero while it is not known.
+// Gateways returns the number of gateways that share the instances; zero while it is not known.
 func (d *Directory) Gateways() int { return d.fleet.Gateways }
 
-// Keepers returns the gateways that give out the places of instances.
+// Keepers returns the gateways that allocate slots of instances.
 func (d *Directory) Keepers() []Keeper { return slices.Clone(d.fleet.Keepers) }
 
 func (d *Directory) applyGateways(revision Revision, gateways int) {
--- a/internal/directory/holding.go
+++ b/internal/directory/holding.go
@@ -6,13 +6,13 @@
 	"github.com/thorntiller/thorntiller/internal/fault"
 )
 
-// Key is a key of a keyed service: a number in order.
+// Key is a key of a keyed service, a number from 0 to MaxKey.
 type Key int
 
 // MaxKey is the highest key.
 const MaxKey Key = 65535
 
-// Fence is a fencing token of keys. It rises whenever a key gets an owner.
+// Fence is the fencing token of a key. It increases whenever the key gets an owner.
 type Fence uint64
 
 // Holding is a range of keys of one service with its owner.
@@ -20,28 +20,28 @@
 	First Key   `msgpack:"f"`
 	Last  Key   `msgpack:"l"`
 	Fence Fence `msgpack:"e"`
-	// Owner may hold the keys; empty while nobody may.
+	// Owner is the instance that may serve the keys; empty for none.
 	Owner InstanceID `msgpack:"o,omitempty"`
-	// Revoked keys are being taken from the owner, which may still hold them until
-	// it says that it does not, or until its lease has ended.
+	// Revoked is true while the keys are taken from the owner, which may serve them until it
+	// confirms their release or its lease ends.
 	Revoked bool `msgpack:"v,omitempty"`
 	// Granted is true once the owner was told that it holds the keys.
 	Granted bool `msgpack:"g,omitempty"`
-	// Handover is what the last holder left for the next one; empty for nothing.
+	// Handover is the token that the last owner passes to the next one; empty for none.
 	Handover string `msgpack:"h,omitempty"`
-	// Revision is that of the last change; a part that was cut off keeps it.
+	// Revision is that of the last change; a part that is split off keeps it.
 	Revision Revision `msgpack:"r,omitempty"`
-	// Routed is the revision at which the instance that requests for the keys go to changed
-	// last; zero for that of Revision.
+	// Routed is the revision of the last change of the instance that gets the requests for the
+	// keys; zero if it is equal to Revision.
 	Routed Revision `msgpack:"u,omitempty"`
 }
 
-// routable reports whether requests for the keys go to their owner.
+// routable reports whether requests for the keys are sent to their owner.
 func (h Holding) routable() bool { return h.Owner != "" && h.Granted && !h.Revoked }
 
-// routesAs reports whether requests for the keys of two holdings go to the same instance, or
-// to none.
-func (h Holding) routesAs(other Holding) bool {
+// routesLike reports whether requests for the keys of both holdings are sent to the same instance,
+// or to none.
+func (h Holding) routesLike(other Holding) bool {
 	return h.routable() == other.routable() && (!h.routable() || h.Owner == other.Owner)
 }
 
@@ -52,7 +52,7 @@
 	return h.Revision
 }
 
-// Same reports whether two holdings say the same of their keys.
+// Same reports whether two holdings are equal, apart from their keys and revisions.
 func (h Holding) Same(other Holding) bool {
 	other.First, other.Last, other.Revision, other.Routed = h.First, h.Last, h.Revision, h.Routed
 	return h == other
@@ -64,8 +64,8 @@
 // Contains reports whether a key lies in the range.
 func (h Holding) Contains(key Key) bool { return h.First <= key && key <= h.Last }
 
-// Layout is how the keys of one service are held. The holdings cover all keys in
-// order without a gap, or there are none.
+// Layout is the assignment of the keys of one service. The holdings cover all keys in order without
+// a gap, or there are none.
 type Layout struct {
 	Service  string    `msgpack:"s"`
 	Holdings []Holding `msgpack:"h"`
@@ -94,34 +94,34 @@
 	return l.Holdings[position], true
 }
 
-// PutLayout changes holdings of a service, unless its layout changed meanwhile.
+// PutLayout changes holdings of a service, unless its layout has changed in the meantime.
 type PutLayout struct {
 	Service string `msgpack:"s"`
-	// After is the revision of the layout that the changes were made for.
+	// After is the revision of the layout on which the changes are based.
 	After Revision `msgpack:"a"`
-	// Changed are the holdings that changed, in the order of their keys. They take the
-	// place of whatever covers their keys; a first layout covers all keys.
+	// Changed are the new holdings, sorted by key. They replace whatever covers their keys; the
+	// first layout of a service covers all keys.
 	Changed []Holding `msgpack:"c"`
 }
 
 func (d *Directory) applyLayout(revision Revision, command PutLayout) error {
-	held := d.Layout(command.Service)
-	if held.Revision != command.After {
+	current := d.Layout(command.Service)
+	if current.Revision != command.After {
 		return fault.Newf(fault.Conflict, "the layout of service %q changed meanwhile", command.Service)
 	}
 	if err := checkOrder(command.Changed); err != nil {
 		return err
 	}
-	if err := checkFences(held.Holdings, command.Changed); err != nil {
+	if err := checkFences(current.Holdings, command.Changed); err != nil {
 		return err
 	}
 	changed := slices.Clone(command.Changed)
 	for index := range changed {
 		changed[index].Revision = revision
 	}
-	markRouted(held.Holdings, changed, revision)
-	next := Layout{Service: command.Service, Holdings: overlay(held.Holdings, changed), Revision: revision}
-	if err := checkWhole(next.Holdings); err != nil {
+	setRoutedRevisions(current.Holdings, changed, revision)
+	next := Layout{Service: command.Service, Holdings: overlay(current.Holdings, changed), Revision: revision}
+	if err := checkCoverage(next.Holdings); err != nil {
 		return err
 	}
 	d.layouts[next.Service] = &next
@@ -129,22 +129,22 @@
 	return nil
 }
 
-// markRouted notes of each changed holding when the instance that requests for its keys go
-// to changed last. Both lists are in the order of their keys.
-func markRouted(held, changed []Holding, revision Revision) {
+// setRoutedRevisions sets, for each changed holding, the revision of the last change of the
+// instance that gets the requests for its keys. Both lists are sorted by key.
+func setRoutedRevisions(current, changed []Holding, revision Revision) {
 	position := 0
 	for index := range changed {
 		holding := &changed[index]
-		for position < len(held) && held[position].Last < holding.First {
+		for position < len(current) && current[position].Last < holding.First {
 			position++
 		}
 		holding.Routed = 0
-		for next := position; next < len(held) && held[next].First <= holding.Last; next++ {
-			if !holding.routesAs(held[next]) {
+		for next := position; next < len(current) && current[next].First <= holding.Last; next++ {
+			if !holding.routesLike(current[next]) {
 				holding.Routed = revision
 				break
 			}
-			holding.Routed = max(holding.Routed, held[next].routedAt())
+			holding.Routed = max(holding.Routed, current[next].routedAt())
 		}
 		if holding.Routed == 0 {
 			holding.Routed = revision
@@ -152,7 +152,7 @@
 	}
 }
 
-// checkOrder refuses changes that are no ranges of keys in order.
+// checkOrder rejects changes that are not valid, disjoint ranges in ascending order.
 func checkOrder(changed []Holding) error {
 	next := Key(0)
 	for _, holding := range changed {
@@ -164,8 +164,8 @@
 	return nil
 }
 
-// checkWhole refuses a layout that does not cover all keys once.
-func checkWhole(holdings []Holding) error {
+// checkCoverage rejects a layout that does not cover all keys exactly once.
+func checkCoverage(holdings []Holding) error {
 	next := Key(0)
 	for _, holding := range holdings {
 		if holding.First != next {
@@ -179,40 +179,40 @@
 	return nil
 }
 
-// overlay returns holdings in which the changed ones have taken the place of what
-// covered their keys. Both are in the order of their keys.
+// overlay returns base with the changed holdings in place of whatever covered their keys. Both
+// lists are sorted by key.
 func overlay(base, changed []Holding) []Holding {
 	result := make([]Holding, 0, len(base)+len(changed))
-	next := 0
+	nextChanged := 0
 	for _, holding := range base {
 		for holding.First <= holding.Last {
-			for next < len(changed) && changed[next].Last < holding.First {
-				result = append(result, changed[next])
-				next++
+			for nextChanged < len(changed) && changed[nextChanged].Last < holding.First {
+				result = append(result, changed[nextChanged])
+				nextChanged++
 			}
-			if next == len(changed) || changed[next].First > holding.Last {
+			if nextChanged == len(changed) || changed[nextChanged].First > holding.Last {
 				result = append(result, holding)
 				break
 			}
-			if holding.First < changed[next].First {
+			if holding.First < changed[nextChanged].First {
 				part := holding
-				part.Last = changed[next].First - 1
+				part.Last = changed[nextChanged].First - 1
 				result = append(result, part)
 			}
-			holding.First = changed[next].Last + 1
+			holding.First = changed[nextChanged].Last + 1
 		}
 	}
-	return append(result, changed[next:]...)
+	return append(result, changed[nextChanged:]...)
 }
 
-func checkFences(held, next []Holding) error {
+func checkFences(current, next []Holding) error {
 	position := 0
-	for _, earlier := range held {
+	for _, earlier := range current {
 		for position < len(next) && next[position].Last < earlier.First {
 			position++
 		}
 		for index := position; index < len(next) && next[index].First <= earlier.Last; index++ {
-			if !mayFollow(earlier, next[index]) {
+			if !validSuccessor(earlier, next[index]) {
 				return fault.Newf(fault.InvalidArgument, "keys %d to %d: fence %d of %q may not follow fence %d of %q",
 					next[index].First, next[index].Last, next[index].Fence, next[index].Owner, earlier.Fence, earlier.Owner)
 			}
@@ -221,10 +221,10 @@
 	return nil
 }
 
-// mayFollow reports whether a key may pass from one holding to the next. Without a
-// change of owner the fence may stay; keys that are being taken away are not given
-// back under the same fence.
-func mayFollow(earlier, next Holding) bool {
+// validSuccessor reports whether next may replace earlier for a key. The fence may stay equal only
+// if the owner does not change or is removed; a revoked key is not given back to its owner with the
+// same fence.
+func validSuccessor(earlier, next Holding) bool {
 	switch {
 	case next.Fence > earlier.Fence:
 		return true
@@ -237,7 +237,7 @@
 	}
 }
 
-// Layout returns the layout of a service; one without holdings if it has none.
+// Layout returns the layout of a service, without holdings if it has none.
 func (d *Directory) Layout(service string) Layout {
 	layout, found := d.layouts[service]
 	if !found {
--- a/internal/directory/incarnation.go
+++ b/internal/directory/incarnation.go
@@ -6,19 +6,19 @@
 	"strings"
 )
 
-// A server may start again under the identifier that it had. Its new life holds and knows
-// nothing of the earlier one, so that it is an instance of its own: its InstanceID is made of
-// the server's identifier and the time of its start.
+// A server may restart with the same identifier. The new process holds no keys and no state of the
+// earlier one, so it is a separate instance: its InstanceID consists of the server's identifier and
+// its start time.
 
-// incarnationMark stands between a server's identifier and the time of its start.
-const incarnationMark = "@"
+// incarnationSeparator separates a server's identifier from its start time.
+const incarnationSeparator = "@"
 
-// Incarnation is one life of a server.
+// Incarnation is one run of a server, from its start to its end.
 type Incarnation struct {
-	// Server is the identifier by which the server knows itself.
+	// Server is the identifier that the server has for itself.
 	Server string
-	// Born is when it started, as Unix milliseconds of its own clock; zero for a server that
-	// does not tell it.
+	// Born is the start time in Unix milliseconds by the server's own clock; zero for a server that
+	// does not report it.
 	Born uint64
 }
 
@@ -27,65 +27,66 @@
 	if i.Born == 0 {
 		return InstanceID(i.Server)
 	}
-	return InstanceID(i.Server + incarnationMark + strconv.FormatUint(i.Born, 10))
+	return InstanceID(i.Server + incarnationSeparator + strconv.FormatUint(i.Born, 10))
 }
 
-// Incarnation returns which life of which server the instance is.
+// Incarnation returns the server and start time that the identifier consists of.
 func (id InstanceID) Incarnation() Incarnation {
-	position := strings.LastIndex(string(id), incarnationMark)
+	position := strings.LastIndex(string(id), incarnationSeparator)
 	if position < 0 {
 		return Incarnation{Server: string(id)}
 	}
-	born, err := strconv.ParseUint(string(id[position+len(incarnationMark):]), 10, 64)
+	born, err := strconv.ParseUint(string(id[position+len(incarnationSeparator):]), 10, 64)
 	if err != nil {
 		return Incarnation{Server: string(id)}
 	}
 	return Incarnation{Server: string(id[:position]), Born: born}
 }
 
-// Server returns the identifier by which the server knows itself.
+// Server returns the identifier that the server has for itself.
 func (id InstanceID) Server() string { return id.Incarnation().Server }
 
-// ValidServer reports whether a server may have the identifier.
+// ValidServer reports whether the identifier is valid for a server.
 func ValidServer(server string) bool {
-	return server != "" && !strings.Contains(server, incarnationMark)
+	return server != "" && !strings.Contains(server, incarnationSeparator)
 }
 
-// Lives returns the known instances that are lives of one server, those that are gone too.
+// Lives returns the known incarnations of a server, including those that are gone.
 func (d *Directory) Lives(server string) []Instance {
-	var lives []Instance
+	var incarnations []Instance
 	for _, id := range d.byServer[server] {
-		lives = append(lives, *d.instances[id])
+		incarnations = append(incarnations, *d.instances[id])
 	}
-	return lives
+	return incarnations
 }
 
-// endEarlierLives marks the earlier lives of a server as gone: its start proves that they have
-// ended.
-func (d *Directory) endEarlierLives(revision Revision, newer Instance) {
-	started := newer.ID.Incarnation()
-	for _, earlier := range d.Lives(started.Server) {
-		if earlier.Ended || earlier.ID.Incarnation().Born >= started.Born {
+// endEarlierIncarnations marks the earlier incarnations of a server as gone: its restart proves
+// that they have ended.
+func (d *Directory) endEarlierIncarnations(revision Revision, newer Instance) {
+	newest := newer.ID.Incarnation()
+	for _, earlier := range d.Lives(newest.Server) {
+		if earlier.Ended || earlier.ID.Incarnation().Born >= newest.Born {
 			continue
 		}
 		earlier.State = InstanceGone
 		earlier.Ended = true
-		d.putInstance(revision, earlier)
+		d.updateInstance(revision, earlier)
 	}
 }
 
-// addLife adds an instance to the lives of its server. The list is replaced and never changed.
-func (d *Directory) addLife(id InstanceID) {
+// addIncarnation adds an instance to the incarnations of its server. The list is replaced and never
+// modified.
+func (d *Directory) addIncarnation(id InstanceID) {
 	server := id.Server()
 	d.byServer[server] = append(slices.Clone(d.byServer[server]), id)
 }
 
-func (d *Directory) removeLife(id InstanceID) {
+func (d *Directory) removeIncarnation(id InstanceID) {
 	server := id.Server()
-	left := slices.DeleteFunc(slices.Clone(d.byServer[server]), func(each InstanceID) bool { return each == id })
-	if len(left) == 0 {
+	remaining := slices.DeleteFunc(slices.Clone(d.byServer[server]), func(other InstanceID) bool { return other == id })
+	if len(remaining) == 0 {
 		delete(d.byServer, server)
 		return
 	}
-	d.byServer[server] = left
+	d.byServer[server] = remaining
 }
--- a/internal/directory/instance.go
+++ b/internal/directory/instance.go
@@ -7,22 +7,23 @@
 	"time"
 )
 
-// InstanceID names one incarnation of a server, see Incarnation: each start has one of its own.
+// InstanceID identifies one incarnation of a server: each start has its own. See Incarnation.
 type InstanceID string
 
-// InstanceState is what is known of an instance.
+// InstanceState is the state of an instance as the controllers know it.
 type InstanceState string
 
 // States of an instance.
 const (
-	// InstanceReady takes requests.
+	// InstanceReady accepts requests.
 	InstanceReady InstanceState = "ready"
-	// InstanceDraining said that it leaves, and takes no new requests.
+	// InstanceDraining announced that it will leave, and accepts no new requests.
 	InstanceDraining InstanceState = "draining"
-	// InstanceSilent sent no heartbeat for a whole lease. Routers that still reach
-	// it may send to it; it holds no keys.
+	// InstanceSilent sent no heartbeat for a whole lease. Routers that still reach it may send it
+	// requests; it holds no keys.
 	InstanceSilent InstanceState = "silent"
-	// InstanceGone left, or another instance has its address. It never returns.
+	// InstanceGone left, or was replaced by another instance at its address or by a later
+	// incarnation of its server. This state is final.
 	InstanceGone InstanceState = "gone"
 )
 
@@ -35,31 +36,30 @@
 	Zone    string        `msgpack:"z"`
 	Slots   int           `msgpack:"n"`
 	State   InstanceState `msgpack:"t"`
-	// Ended is true once its process surely ended: another one has its address.
+	// Ended is true once its process is known to have ended: another instance has its address, or
+	// its server has started again.
 	Ended bool `msgpack:"e,omitempty"`
-	// ServiceTime is how long the instance needs for a request, the wait in its queue
-	// left out, as all gateways together measured it; zero while it is not known to
-	// differ from that of other instances of its service.
+	// ServiceTime is the time that the instance takes for a request, without the wait in its queue,
+	// as measured by all gateways together; zero while it is not known to differ from that of other
+	// instances of its service.
 	ServiceTime time.Duration `msgpack:"w,omitempty"`
-	// WarmUp is how much longer the instance was cold when that became known, at the
-	// revision ColdSince; zero for an instance that is warm. A cold instance carries few
-	// requests, see Service.
+	// WarmUp is the remaining time for which the instance is cold, as of the revision ColdSince;
+	// zero for a warm instance. A cold instance serves fewer requests, see Service.
 	WarmUp    time.Duration `msgpack:"c,omitempty"`
 	ColdSince Revision      `msgpack:"v,omitempty"`
-	// Revision is that of the last change, of the service time excepted, and TimedAt that of
-	// the last change of the service time.
+	// Revision is that of the last change except of the service time, and TimedAt that of the last
+	// change of the service time.
 	Revision Revision `msgpack:"r"`
 	TimedAt  Revision `msgpack:"d,omitempty"`
 }
 
-// Same reports whether two readings of an instance differ in nothing but when they
-// were taken.
+// Same reports whether two records of an instance are equal, apart from their revisions.
 func (i Instance) Same(other Instance) bool {
 	other.Revision, other.TimedAt = i.Revision, i.TimedAt
 	return i == other
 }
 
-// changedAt is the revision of the last change of anything.
+// changedAt is the revision of the last change, including the service time.
 func (i Instance) changedAt() Revision { return max(i.Revision, i.TimedAt) }
 
 // Serving reports whether requests may be sent to the instance.
@@ -67,26 +67,26 @@
 	return i.State == InstanceReady || i.State == InstanceSilent
 }
 
-// maxGone bounds the instances that are remembered after they left, so that a late
-// heartbeat does not bring one back.
-const maxGone = 2048
+// maxGoneInstances bounds the instances that are kept after they left, so that a late heartbeat
+// does not bring one back.
+const maxGoneInstances = 2048
 
-// applyInstances takes each instance at its new state.
+// applyInstances stores the new state of each instance; instances that are gone stay so.
 func (d *Directory) applyInstances(revision Revision, changed []Instance) {
 	for _, instance := range changed {
-		if held, found := d.instances[instance.ID]; found && held.State == InstanceGone {
+		if current, found := d.instances[instance.ID]; found && current.State == InstanceGone {
 			continue
 		}
 		if instance.WarmUp > 0 && instance.ColdSince == 0 {
 			instance.ColdSince = revision
 		}
-		d.putInstance(revision, instance)
+		d.updateInstance(revision, instance)
 		if instance.State != InstanceGone {
-			d.replaceAtAddress(revision, instance)
-			d.endEarlierLives(revision, instance)
+			d.endInstancesAtAddress(revision, instance)
+			d.endEarlierIncarnations(revision, instance)
 		}
 	}
-	d.forgetGone()
+	d.pruneGoneInstances()
 }
 
 // InstanceTime is the service time of one instance.
@@ -95,44 +95,44 @@
 	ServiceTime time.Duration `msgpack:"w"`
 }
 
-// applyTimes takes the service times of instances that are still there.
+// applyTimes stores the service times of the instances that are not gone.
 func (d *Directory) applyTimes(revision Revision, times []InstanceTime) {
 	for _, measured := range times {
-		held, found := d.instances[measured.ID]
-		if !found || held.State == InstanceGone {
+		current, found := d.instances[measured.ID]
+		if !found || current.State == InstanceGone {
 			continue
 		}
-		instance := *held
+		instance := *current
 		instance.ServiceTime = measured.ServiceTime
 		instance.TimedAt = revision
-		d.keepInstance(instance)
+		d.storeInstance(instance)
 		d.revision = revision
 	}
 }
 
-// replaceAtAddress marks the earlier instances at an address as gone: a process
-// that listens there proves that theirs has ended.
-func (d *Directory) replaceAtAddress(revision Revision, newer Instance) {
+// endInstancesAtAddress marks the other instances at an address as gone: a process that listens
+// there proves that theirs have ended.
+func (d *Directory) endInstancesAtAddress(revision Revision, newer Instance) {
 	for instance := range d.InstancesAt(newer.Address) {
 		if instance.ID == newer.ID || instance.Ended {
 			continue
 		}
 		instance.State = InstanceGone
 		instance.Ended = true
-		d.putInstance(revision, instance)
+		d.updateInstance(revision, instance)
 	}
 }
 
-func (d *Directory) putInstance(revision Revision, instance Instance) {
+func (d *Directory) updateInstance(revision Revision, instance Instance) {
 	instance.Revision = revision
-	d.keepInstance(instance)
+	d.storeInstance(instance)
 	d.revision = revision
 }
 
-// keepInstance takes an instance in place of an earlier reading of it.
-func (d *Directory) keepInstance(instance Instance) {
-	if held, known := d.instances[instance.ID]; known && held.Address != instance.Address {
-		d.leaveAddress(*held)
+// storeInstance stores an instance in place of its earlier record and updates the indexes.
+func (d *Directory) storeInstance(instance Instance) {
+	if current, found := d.instances[instance.ID]; found && current.Address != instance.Address {
+		d.removeFromAddress(*current)
 	}
 	if !slices.Contains(d.byAddress[instance.Address], instance.ID) {
 		d.byAddress[instance.Address] = append(slices.Clone(d.byAddress[instance.Address]), instance.ID)
@@ -140,58 +140,58 @@
 	d.changes.add(instance.changedAt(), instance.ID)
 	position, found := d.position(instance.ID)
 	if found {
-		d.countGone(*d.ordered[position], -1)
-		d.ordered[position] = &instance
+		d.adjustGoneCount(*d.sortedInstances[position], -1)
+		d.sortedInstances[position] = &instance
 	} else {
-		d.ordered = slices.Insert(d.ordered, position, &instance)
-		d.addLife(instance.ID)
-		if known := d.references.Load(); known != nil {
-			known.add(instance.ID)
+		d.sortedInstances = slices.Insert(d.sortedInstances, position, &instance)
+		d.addIncarnation(instance.ID)
+		if index := d.references.Load(); index != nil {
+			index.add(instance.ID)
 		}
 	}
-	d.countGone(instance, 1)
+	d.adjustGoneCount(instance, 1)
 	d.instances[instance.ID] = &instance
 }
 
-func (d *Directory) countGone(instance Instance, change int) {
+func (d *Directory) adjustGoneCount(instance Instance, delta int) {
 	if instance.State == InstanceGone {
-		d.gone += change
+		d.goneCount += delta
 	}
 }
 
-// leaveAddress takes an instance out of those at its address.
-func (d *Directory) leaveAddress(leaving Instance) {
-	left := slices.DeleteFunc(slices.Clone(d.byAddress[leaving.Address]), func(id InstanceID) bool { return id == leaving.ID })
-	if len(left) == 0 {
-		delete(d.byAddress, leaving.Address)
+// removeFromAddress removes an instance from the list of its address.
+func (d *Directory) removeFromAddress(instance Instance) {
+	remaining := slices.DeleteFunc(slices.Clone(d.byAddress[instance.Address]), func(id InstanceID) bool { return id == instance.ID })
+	if len(remaining) == 0 {
+		delete(d.byAddress, instance.Address)
 		return
 	}
-	d.byAddress[leaving.Address] = left
+	d.byAddress[instance.Address] = remaining
 }
 
-func (d *Directory) forgetInstance(id InstanceID) {
-	if held, found := d.instances[id]; found {
-		d.leaveAddress(*held)
-		d.removeLife(id)
-		d.countGone(*held, -1)
+func (d *Directory) deleteInstance(id InstanceID) {
+	if instance, found := d.instances[id]; found {
+		d.removeFromAddress(*instance)
+		d.removeIncarnation(id)
+		d.adjustGoneCount(*instance, -1)
 	}
 	if position, found := d.position(id); found {
-		d.ordered = slices.Delete(d.ordered, position, position+1)
+		d.sortedInstances = slices.Delete(d.sortedInstances, position, position+1)
 	}
 	delete(d.instances, id)
 	d.references.Store(nil)
 }
 
-// position returns where an instance stands in the order, or would stand.
+// position returns the position of an instance in sortedInstances, or where to insert it.
 func (d *Directory) position(id InstanceID) (int, bool) {
-	return slices.BinarySearchFunc(d.ordered, id, func(instance *Instance, id InstanceID) int {
+	return slices.BinarySearchFunc(d.sortedInstances, id, func(instance *Instance, id InstanceID) int {
 		return cmp.Compare(instance.ID, id)
 	})
 }
 
-// forgetGone forgets those that left first, beyond the bound.
-func (d *Directory) forgetGone() {
-	if d.gone <= maxGone {
+// pruneGoneInstances deletes the instances that left first, down to maxGoneInstances.
+func (d *Directory) pruneGoneInstances() {
+	if d.goneCount <= maxGoneInstances {
 		return
 	}
 	var gone []Instance
@@ -203,15 +203,15 @@
 	slices.SortFunc(gone, func(a, b Instance) int {
 		return cmp.Or(cmp.Compare(a.Revision, b.Revision), cmp.Compare(a.ID, b.ID))
 	})
-	for _, instance := range gone[:len(gone)-maxGone] {
-		d.forgetInstance(instance.ID)
+	for _, instance := range gone[:len(gone)-maxGoneInstances] {
+		d.deleteInstance(instance.ID)
 	}
 }
 
-// Living returns how many instances are not gone.
-func (d *Directory) Living() int { return len(d.instances) - d.gone }
+// Living returns the number of instances that are not gone.
+func (d *Directory) Living() int { return len(d.instances) - d.goneCount }
 
-// Instance returns an instance, also one that is gone.
+// Instance returns an instance, including one that is gone.
 func (d *Directory) Instance(id InstanceID) (Instance, bool) {
 	instance, found := d.instances[id]
 	if !found {
@@ -220,8 +220,8 @@
 	return *instance, true
 }
 
-// InstancesAt yields the instances at an address, those that are gone too. An instance
-// may be changed meanwhile, but none added.
+// InstancesAt yields the instances at an address, including those that are gone. Instances may be
+// modified during the iteration, but not added.
 func (d *Directory) InstancesAt(address string) iter.Seq[Instance] {
 	return func(yield func(Instance) bool) {
 		for _, id := range d.byAddress[address] {
@@ -232,20 +232,22 @@
 	}
 }
 
-// Find returns an instance, also one that is gone. It must not be changed, and never changes.
+// Find returns an instance, including one that is gone. Callers must not modify it; the directory
+// never does.
 func (d *Directory) Find(id InstanceID) (*Instance, bool) {
 	instance, found := d.instances[id]
 	return instance, found
 }
 
-// EachFound yields every instance by identifier, as Find returns it.
-func (d *Directory) EachFound() iter.Seq[*Instance] { return slices.Values(d.ordered) }
+// EachFound yields pointers to all instances, sorted by identifier, under the same conditions as
+// Find.
+func (d *Directory) EachFound() iter.Seq[*Instance] { return slices.Values(d.sortedInstances) }
 
-// EachInstance yields every instance by identifier, those that are gone too. An
-// instance may be changed meanwhile, but none added.
+// EachInstance yields all instances, sorted by identifier, including those that are gone. Instances
+// may be modified during the iteration, but not added.
 func (d *Directory) EachInstance() iter.Seq[Instance] {
 	return func(yield func(Instance) bool) {
-		for _, instance := range d.ordered {
+		for _, instance := range d.sortedInstances {
 			if !yield(*instance) {
 				return
 			}
@@ -253,5 +255,5 @@
 	}
 }
 
-// Instances returns every instance by identifier, those that are gone too.
+// Instances returns all instances, sorted by identifier, including those that are gone.
 func (d *Directory) Instances() []Instance { return slices.Collect(d.EachInstance()) }
--- a/internal/directory/item.go
+++ b/internal/directory/item.go
@@ -8,7 +8,7 @@
 // Revision is the log index of the command that made a change.
 type Revision uint64
 
-// ItemKind tells what a named item configures.
+// ItemKind is the kind of object that a named item configures.
 type ItemKind string
 
 // Kinds of items.
@@ -19,7 +19,7 @@
 	KindLimits  ItemKind = "limits"
 )
 
-// limitsName is the name of the one item of the kind limits.
+// limitsName is the name of the only item of kind limits.
 const limitsName = "limits"
 
 // ItemKey identifies an item.
@@ -28,19 +28,19 @@
 	Name string   `msgpack:"n"`
 }
 
-// Item is one named item of the traffic configuration at its newest version.
+// Item is a named item of the traffic configuration at its newest version.
 type Item struct {
 	Key     ItemKey `msgpack:"k"`
 	Version uint64  `msgpack:"v"`
 	// Content is the item as the operator sent it; empty for a dropped one.
 	Content json.RawMessage `msgpack:"c,omitempty"`
-	// Dropped items are kept, so that an older version that comes late does not
-	// bring them back.
+	// Dropped items are kept as tombstones, so that an older version that arrives late does not
+	// restore them.
 	Dropped  bool     `msgpack:"d,omitempty"`
 	Revision Revision `msgpack:"r"`
 }
 
-// RequestKind tells whether a request may run more than once.
+// RequestKind specifies whether a request may run more than once.
 type RequestKind string
 
 // Kinds of requests.
@@ -59,19 +59,18 @@
 // MayRepeat reports whether a request of the kind may run more than once.
 func (k RequestKind) MayRepeat() bool { return k == Repeatable || k == Download }
 
-// Share is one part of a route's split.
+// Share is one part of a route's traffic split.
 type Share struct {
 	Service string  `json:"service" msgpack:"s"`
 	Weight  float64 `json:"weight" msgpack:"w"`
 }
 
-// Route says which service gets the requests of a host below a path prefix.
+// Route maps the requests for a host and path prefix to services.
 type Route struct {
 	Name string `json:"name" msgpack:"n"`
-	// Host is compared with the request's Host header, without regard to case and
-	// port.
+	// Host is compared with the request's Host header, ignoring case and port.
 	Host string `json:"host" msgpack:"h"`
-	// Prefix begins and ends with a slash; the longest one that fits wins.
+	// Prefix begins and ends with a slash; the longest matching one wins.
 	Prefix string `json:"prefix" msgpack:"p"`
 	// Service gets the requests unless Split is given.
 	Service string      `json:"service,omitempty" msgpack:"s,omitempty"`
@@ -79,15 +78,15 @@
 	Kind    RequestKind `json:"kind" msgpack:"k"`
 	// TimeoutMs bounds the time that a router holds a request; zero for no bound.
 	TimeoutMs float64 `json:"timeout_ms" msgpack:"t"`
-	// TargetLatencyMs is the time within which an answer is of full use.
+	// TargetLatencyMs is the time after which an answer loses value for the caller.
 	TargetLatencyMs float64 `json:"target_latency_ms" msgpack:"l"`
-	// Priority is the rank among the requests of a service; 0 comes first.
+	// Priority ranks the requests of a service; 0 is the highest.
 	Priority int `json:"priority" msgpack:"o"`
-	// MaxAttempts bounds the servers that one request may be sent to.
+	// MaxAttempts bounds the number of servers that one request may be sent to.
 	MaxAttempts int `json:"max_attempts" msgpack:"a"`
-	// AllowAnonymous routes take requests without an API key, too.
+	// AllowAnonymous routes also accept requests without an API key.
 	AllowAnonymous bool `json:"allow_anonymous,omitempty" msgpack:"y,omitempty"`
-	// AllowedRegions are the only ones whose servers may get the requests; empty for all.
+	// AllowedRegions restrict the servers that may get the requests; empty for no restriction.
 	AllowedRegions []string `json:"allowed_regions,omitempty" msgpack:"g,omitempty"`
 	Version        uint64   `json:"version" msgpack:"v"`
 }
@@ -112,21 +111,19 @@
 	MaxConnections int `json:"max_connections" msgpack:"c"`
 	// Keyed services run a request only on the server that holds its key.
 	Keyed bool `json:"keyed" msgpack:"k"`
-	// WarmSeconds is how long keys without their last holder's handover are slow.
+	// WarmSeconds is the time for which keys that were taken over without a handover are slow.
 	WarmSeconds float64 `json:"warm_seconds" msgpack:"w"`
-	// WarmUpSeconds is how long an instance is cold after its start, and
-	// WarmUpPerSecond how many requests a second it carries meanwhile; zero for no
-	// bound.
+	// WarmUpSeconds is the time for which an instance is cold after its start, and WarmUpPerSecond
+	// the requests per second that it serves meanwhile; zero for no bound.
 	WarmUpSeconds   float64 `json:"warm_up_seconds" msgpack:"u"`
 	WarmUpPerSecond float64 `json:"warm_up_per_second" msgpack:"p"`
 	Version         uint64  `json:"version" msgpack:"v"`
 }
 
-// LimitsCold reports whether instances of the service carry fewer requests while they
-// are cold.
+// LimitsCold reports whether instances of the service serve fewer requests while they are cold.
 func (s Service) LimitsCold() bool { return s.WarmUpPerSecond > 0 }
 
-// WarmUpTime is how long an instance is cold after its start.
+// WarmUpTime returns the time for which an instance is cold after its start.
 func (s Service) WarmUpTime() time.Duration {
 	return time.Duration(s.WarmUpSeconds * float64(time.Second))
 }
--- a/internal/directory/items.go
+++ b/internal/directory/items.go
@@ -9,51 +9,51 @@
 	"github.com/thorntiller/thorntiller/internal/fault"
 )
 
-// CheckPatch reports whether a patch may be applied: each service that a route
-// names must be configured once the patch is in force. A route that changes
-// nothing, since it is older than the one in force, needs services that were
-// configured at some time. The error is of the kind invalid_argument.
+// CheckPatch validates a patch against the directory: each service that a route refers to must be
+// configured once the patch is applied. A route that is ignored, because it is not newer than the
+// current one, may also refer to a service that was dropped or that the patch names. The error is
+// of kind invalid_argument.
 func (d *Directory) CheckPatch(patch Patch) error {
-	after := make(map[ItemKey]Item, len(patch.Items))
+	replacements := make(map[ItemKey]Item, len(patch.Items))
 	for _, item := range patch.Items {
-		if d.newer(item) && item.Version >= after[item.Key].Version {
-			after[item.Key] = item
+		if d.supersedes(item) && item.Version >= replacements[item.Key].Version {
+			replacements[item.Key] = item
 		}
 	}
-	named := make(map[string]bool)
+	inPatch := make(map[string]bool)
 	for _, item := range patch.Items {
 		if item.Key.Kind == KindService {
-			named[item.Key.Name] = true
+			inPatch[item.Key.Name] = true
 		}
 	}
-	standing := func(service string) bool {
+	configuredAfter := func(service string) bool {
 		key := ItemKey{Kind: KindService, Name: service}
-		if item, changed := after[key]; changed {
+		if item, changed := replacements[key]; changed {
 			return !item.Dropped
 		}
 		item, found := d.items[key]
 		return found && !item.Dropped
 	}
-	known := func(service string) bool {
+	everConfigured := func(service string) bool {
 		_, found := d.items[ItemKey{Kind: KindService, Name: service}]
-		return found || named[service]
+		return found || inPatch[service]
 	}
 	for _, item := range patch.Items {
 		if item.Key.Kind != KindRoute || item.Dropped {
 			continue
 		}
-		allowed := known
-		if d.newer(item) {
-			allowed = standing
+		allowed := everConfigured
+		if d.supersedes(item) {
+			allowed = configuredAfter
 		}
 		if err := checkServices(item, allowed); err != nil {
 			return err
 		}
 	}
-	if err := d.checkSharedKeys(after); err != nil {
+	if err := d.checkSharedKeys(replacements); err != nil {
 		return err
 	}
-	return d.checkDroppedServices(after)
+	return d.checkDroppedServices(replacements)
 }
 
 func checkServices(item Item, allowed func(service string) bool) error {
@@ -70,10 +70,10 @@
 	return nil
 }
 
-// checkDroppedServices refuses a patch that drops a service which a route uses.
-func (d *Directory) checkDroppedServices(after map[ItemKey]Item) error {
+// checkDroppedServices rejects a patch that drops a service that a route uses.
+func (d *Directory) checkDroppedServices(replacements map[ItemKey]Item) error {
 	dropped := make(map[string]bool)
-	for key, item := range after {
+	for key, item := range replacements {
 		if key.Kind == KindService && item.Dropped {
 			dropped[key.Name] = true
 		}
@@ -82,30 +82,30 @@
 		return nil
 	}
 	for key, item := range d.items {
-		if _, changed := after[key]; changed || key.Kind != KindRoute || item.Dropped {
+		if _, changed := replacements[key]; changed || key.Kind != KindRoute || item.Dropped {
 			continue
 		}
-		inUse := func(service string) bool { return !dropped[service] }
-		if err := checkServices(*item, inUse); err != nil {
+		notDropped := func(service string) bool { return !dropped[service] }
+		if err := checkServices(*item, notDropped); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// newer reports whether an item takes the place of the one that is held.
-func (d *Directory) newer(item Item) bool {
-	held, found := d.items[item.Key]
-	return !found || item.Version > held.Version
+// supersedes reports whether an item is newer than the current one.
+func (d *Directory) supersedes(item Item) bool {
+	current, found := d.items[item.Key]
+	return !found || item.Version > current.Version
 }
 
-// applyPatch takes the items of a patch that are newer than those held.
+// applyPatch stores the items of a patch that are newer than the current ones.
 func (d *Directory) applyPatch(revision Revision, patch Patch) error {
 	if err := d.CheckPatch(patch); err != nil {
 		return err
 	}
 	for _, item := range patch.Items {
-		if !d.newer(item) {
+		if !d.supersedes(item) {
 			continue
 		}
 		item.Revision = revision
@@ -133,12 +133,12 @@
 	}
 }
 
-// Tenants returns the tenants that stand, by name.
+// Tenants returns the tenants that are not dropped, sorted by name.
 func (d *Directory) Tenants() []Tenant {
 	return slices.SortedFunc(maps.Values(d.tenants), func(a, b Tenant) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// Tenant returns a tenant that stands.
+// Tenant returns a tenant that is not dropped.
 func (d *Directory) Tenant(name string) (Tenant, bool) {
 	tenant, found := d.tenants[name]
 	return tenant, found
@@ -147,7 +147,7 @@
 // ItemsRevision returns the revision of the newest change of an item.
 func (d *Directory) ItemsRevision() Revision { return d.itemsRevision }
 
-// Items returns every item, dropped ones too, by kind and name.
+// Items returns all items, including dropped ones, sorted by kind and name.
 func (d *Directory) Items() []Item {
 	items := make([]Item, 0, len(d.items))
 	for _, item := range d.items {
@@ -159,7 +159,7 @@
 	return items
 }
 
-// ItemSet returns the items that stand, as operators sent them.
+// ItemSet returns the items that are not dropped, as operators sent them.
 func (d *Directory) ItemSet() ItemSet {
 	set := ItemSet{Routes: []json.RawMessage{}, Services: []json.RawMessage{}}
 	for _, item := range d.Items() {
@@ -178,16 +178,16 @@
 	return set
 }
 
-// Configured reports whether any item was taken yet.
+// Configured reports whether any item has been stored.
 func (d *Directory) Configured() bool { return len(d.items) > 0 }
 
-// Service returns the configuration of a service that stands.
+// Service returns the configuration of a service that is not dropped.
 func (d *Directory) Service(name string) (Service, bool) {
 	service, found := d.services[name]
 	return service, found
 }
 
-// KeyedServices returns the keyed services that stand, by name.
+// KeyedServices returns the keyed services that are not dropped, sorted by name.
 func (d *Directory) KeyedServices() []Service {
 	var keyed []Service
 	for _, service := range d.services {
@@ -199,28 +199,28 @@
 	return keyed
 }
 
-// Route decodes the content of an item of the kind route.
+// Route decodes the content of an item of kind route.
 func (i Item) Route() (Route, error) {
 	var route Route
 	err := json.Unmarshal(i.Content, &route)
 	return route, err
 }
 
-// Service decodes the content of an item of the kind service.
+// Service decodes the content of an item of kind service.
 func (i Item) Service() (Service, error) {
 	var service Service
 	err := json.Unmarshal(i.Content, &service)
 	return service, err
 }
 
-// Tenant decodes the content of an item of the kind tenant.
+// Tenant decodes the content of an item of kind tenant.
 func (i Item) Tenant() (Tenant, error) {
 	var tenant Tenant
 	err := json.Unmarshal(i.Content, &tenant)
 	return tenant, err
 }
 
-// Limits decodes the content of an item of the kind limits.
+// Limits decodes the content of an item of kind limits.
 func (i Item) Limits() (Limits, error) {
 	var limits Limits
 	err := json.Unmarshal(i.Content, &limits)
--- a/internal/directory/patch.go
+++ b/internal/directory/patch.go
@@ -17,39 +17,39 @@
 	Remove Removal `json:"remove"`
 }
 
-// Removal names the items that a call drops.
+// Removal lists the items that a call drops.
 type Removal struct {
 	Routes   []RemovedItem `json:"routes"`
 	Services []RemovedItem `json:"services"`
 	Tenants  []RemovedItem `json:"tenants"`
 }
 
-// RemovedItem is an item that is dropped at a version.
+// RemovedItem identifies an item and the version at which it is dropped.
 type RemovedItem struct {
 	Name    string `json:"name"`
 	Version uint64 `json:"version"`
 }
 
-// Patch is a call of an operator, read and checked item by item.
+// Patch is a decoded call of an operator; each of its items was checked by itself.
 type Patch struct {
 	Items []Item `msgpack:"i"`
 }
 
-// latencySlackMs is how far the target latency of a route may lie above its
-// timeout.
+// latencySlackMs is the upper bound, itself excluded, of the excess of a route's target latency
+// over its timeout.
 const latencySlackMs = 60_000
 
-// ReadPatch reads the body of a call that changes items. The error is of the kind
+// ReadPatch decodes and checks the body of a call that changes items. The error is of kind
 // invalid_argument and names the item, the field and the remedy.
 func ReadPatch(body []byte) (Patch, error) {
-	var read PatchBody
-	if err := decodeWhole(body, &read); err != nil {
+	var request PatchBody
+	if err := decodeSingleValue(body, &request); err != nil {
 		return Patch{}, fault.Newf(fault.InvalidArgument, "body: %v: send one whole JSON object", err)
 	}
 	var patch Patch
-	for _, content := range read.Set.Routes {
+	for _, content := range request.Set.Routes {
 		var route Route
-		if err := readItem(content, "routes", &route); err != nil {
+		if err := decodeItem(content, "routes", &route); err != nil {
 			return Patch{}, err
 		}
 		if err := checkRoute(route); err != nil {
@@ -57,9 +57,9 @@
 		}
 		patch.set(KindRoute, route.Name, route.Version, content)
 	}
-	for _, content := range read.Set.Services {
+	for _, content := range request.Set.Services {
 		var service Service
-		if err := readItem(content, "services", &service); err != nil {
+		if err := decodeItem(content, "services", &service); err != nil {
 			return Patch{}, err
 		}
 		if service.Name == "" {
@@ -67,9 +67,9 @@
 		}
 		patch.set(KindService, service.Name, service.Version, content)
 	}
-	for _, content := range read.Set.Tenants {
+	for _, content := range request.Set.Tenants {
 		var tenant Tenant
-		if err := readItem(content, "tenants", &tenant); err != nil {
+		if err := decodeItem(content, "tenants", &tenant); err != nil {
 			return Patch{}, err
 		}
 		if err := checkTenant(tenant); err != nil {
@@ -77,16 +77,16 @@
 		}
 		patch.set(KindTenant, tenant.Name, tenant.Version, content)
 	}
-	if len(read.Set.Limits) > 0 && !bytes.Equal(read.Set.Limits, []byte("null")) {
+	if len(request.Set.Limits) > 0 && !bytes.Equal(request.Set.Limits, []byte("null")) {
 		var limits Limits
-		if err := readItem(read.Set.Limits, limitsName, &limits); err != nil {
+		if err := decodeItem(request.Set.Limits, limitsName, &limits); err != nil {
 			return Patch{}, err
 		}
-		patch.set(KindLimits, limitsName, limits.Version, read.Set.Limits)
+		patch.set(KindLimits, limitsName, limits.Version, request.Set.Limits)
 	}
-	patch.drop(KindRoute, read.Remove.Routes)
-	patch.drop(KindService, read.Remove.Services)
-	patch.drop(KindTenant, read.Remove.Tenants)
+	patch.drop(KindRoute, request.Remove.Routes)
+	patch.drop(KindService, request.Remove.Services)
+	patch.drop(KindTenant, request.Remove.Tenants)
 	return patch, nil
 }
 
@@ -100,8 +100,8 @@
 	}
 }
 
-// decodeWhole decodes one JSON value with nothing behind it.
-func decodeWhole(body []byte, target any) error {
+// decodeSingleValue decodes one JSON value and rejects trailing data.
+func decodeSingleValue(body []byte, target any) error {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	if err := decoder.Decode(target); err != nil {
 		return err
@@ -112,14 +112,14 @@
 	return nil
 }
 
-func readItem(content json.RawMessage, list string, target any) error {
+func decodeItem(content json.RawMessage, list string, target any) error {
 	if err := json.Unmarshal(content, target); err != nil {
 		return fault.Newf(fault.InvalidArgument, "%s: %v: see docs/CONFIGURATION.md for the fields", list, err)
 	}
 	return nil
 }
 
-// checkRoute checks what a route says by itself.
+// checkRoute validates a route by itself, without the other items.
 func checkRoute(route Route) error {
 	invalid := func(field, problem string) error {
 		return fault.Newf(fault.InvalidArgument, "routes: route %q: %s %s", route.Name, field, problem)
--- a/internal/directory/routingchanges.go
+++ b/internal/directory/routingchanges.go
@@ -7,16 +7,16 @@
 	"github.com/rotisserie/eris"
 )
 
-// RoutingChanges is what changed after one revision, up to another, of what gateways route
-// by. Hundreds of gateways get each change over links that are narrow, so that it leaves out
-// what they have no use for: fences, handovers, and steps of a move during which nobody may
-// serve the keys before as after.
+// RoutingChanges has the changes, after one revision and up to another, of the state that gateways
+// route by. Hundreds of gateways get each change over narrow links, so it leaves out what they do
+// not need: fences, handovers, and the steps of a move that do not change which instance may serve
+// the keys, as none may before and after.
 type RoutingChanges struct {
 	From      Revision   `msgpack:"f,omitempty"`
 	To        Revision   `msgpack:"t"`
 	Items     []Item     `msgpack:"i,omitempty"`
 	Instances []Instance `msgpack:"n,omitempty"`
-	// Times are packed service times of instances of which nothing else changed.
+	// Times are the packed service times of instances of which nothing else changed.
 	Times     []byte           `msgpack:"w,omitempty"`
 	Holders   []HoldersChanges `msgpack:"l,omitempty"`
 	Zones     []Zone           `msgpack:"z,omitempty"`
@@ -25,18 +25,18 @@
 	Suspects  *Suspects        `msgpack:"u,omitempty"`
 }
 
-// HoldersChanges are ranges of keys of one service, packed, with the instances that requests
-// for them go to.
+// HoldersChanges has packed ranges of keys of one service, with the instances that get the requests
+// for them.
 type HoldersChanges struct {
 	Service string `msgpack:"s"`
 	Packed  []byte `msgpack:"p"`
 }
 
-// errRevisionGap is the error of changes that follow a later state than the one they are
-// added to.
+// errRevisionGap reports changes that start at a later revision than that of the directory they are
+// merged into.
 var errRevisionGap = eris.New("changes of the directory are missing: fetch the whole directory")
 
-// RoutingSince returns what changed after a revision; zero gives everything.
+// RoutingSince returns the changes after a revision; zero returns everything.
 func (d *Directory) RoutingSince(after Revision) RoutingChanges {
 	content := d.sinceWithoutLayouts(after)
 	changes := RoutingChanges{
@@ -47,7 +47,7 @@
 		suspects := content.Suspects.ForSenders()
 		changes.Suspects = &suspects
 	}
-	known := d.knownReferences()
+	references := d.instanceReferences()
 	var times []InstanceTime
 	for _, instance := range content.Instances {
 		if instance.Revision > after {
@@ -56,17 +56,17 @@
 			times = append(times, InstanceTime{ID: instance.ID, ServiceTime: instance.ServiceTime})
 		}
 	}
-	changes.Times = packTimes(times, known)
+	changes.Times = packTimes(times, references)
 	for _, layout := range d.layouts {
 		if holdings := layout.routedSince(after); len(holdings) > 0 {
-			changes.Holders = append(changes.Holders, HoldersChanges{Service: layout.Service, Packed: packHolders(holdings, known)})
+			changes.Holders = append(changes.Holders, HoldersChanges{Service: layout.Service, Packed: packHolders(holdings, references)})
 		}
 	}
 	slices.SortFunc(changes.Holders, func(a, b HoldersChanges) int { return cmp.Compare(a.Service, b.Service) })
 	return changes
 }
 
-// routedSince returns the holdings whose keys are served by another instance, or by none,
+// routedSince returns the holdings whose requests have been sent to another instance, or to none,
 // since a revision.
 func (l *Layout) routedSince(after Revision) []Holding {
 	var changed []Holding
@@ -78,8 +78,8 @@
 	return changed
 }
 
-// TakeRouting adds changes to the directory of a gateway. After an error the directory is
-// to be fetched anew.
+// TakeRouting merges changes into the directory of a gateway. After an error the whole directory
+// must be fetched again.
 func (d *Directory) TakeRouting(changes RoutingChanges) error {
 	if changes.From > d.revision {
 		return errRevisionGap
@@ -92,14 +92,14 @@
 		Zones: changes.Zones, Fleet: changes.Fleet, Throttles: changes.Throttles,
 		Suspects: changes.Suspects,
 	})
-	known := d.knownReferences()
-	times, err := unpackTimes(changes.Times, known)
+	references := d.instanceReferences()
+	times, err := unpackTimes(changes.Times, references)
 	if err != nil {
 		return err
 	}
 	d.applyTimes(changes.To, times)
 	for _, holders := range changes.Holders {
-		changed, err := unpackHolders(holders.Packed, known, changes.To)
+		changed, err := unpackHolders(holders.Packed, references, changes.To)
 		if err != nil {
 			return err
 		}
--- a/internal/directory/suspect.go
+++ b/internal/directory/suspect.go
@@ -8,14 +8,14 @@
 	"github.com/thorntiller/thorntiller/internal/fault"
 )
 
-// Fingerprint stands for a request: a hash, under a key that callers do not know, of all that makes
-// two requests the same. Neither path nor body can be found from it.
+// Fingerprint identifies equal requests. It is a keyed hash, with a key unknown to callers, of
+// everything that makes two requests the same. Neither path nor body can be derived from it.
 type Fingerprint uint64
 
 // String returns the fingerprint as 16 hexadecimal digits.
 func (f Fingerprint) String() string { return fmt.Sprintf("%016x", uint64(f)) }
 
-// ParseFingerprint reads what String returned.
+// ParseFingerprint parses the form that String returns.
 func ParseFingerprint(text string) (Fingerprint, error) {
 	const digits = 16
 	value, err := strconv.ParseUint(text, 16, 64)
@@ -25,50 +25,52 @@
 	return Fingerprint(value), nil
 }
 
-// PathHash is a hash of the host and path of a request, by which the few requests are found whose
-// fingerprints are worth computing.
+// PathHash is a hash of the host and path of a request. It selects the few requests for which
+// computing the fingerprint is worthwhile.
 type PathHash uint64
 
 // Suspect is a request that was in flight at instances when these crashed.
 type Suspect struct {
 	Fingerprint Fingerprint `msgpack:"f"`
 	Path        PathHash    `msgpack:"p"`
-	// Service and Crashes, the instances that crashed under it since it was answered last, are left
-	// out of what gateways and routers get.
+	// Crashes are the instances that crashed while processing the request since it was last
+	// answered. Gateways and routers get neither Service nor Crashes.
 	Service string       `msgpack:"s,omitempty"`
 	Crashes []InstanceID `msgpack:"c,omitempty"`
-	// Quarantined requests are sent to no instance.
+	// Quarantined requests are not sent to any instance.
 	Quarantined bool `msgpack:"q,omitempty"`
-	// Doubtful is true if something else may explain the crashes, so that it may be tried.
+	// Doubtful is true if the crashes may have another cause, so that a trial may be granted.
 	Doubtful bool `msgpack:"d,omitempty"`
-	// Trials counts those that were granted, and TrialBy is the gateway or router that may send it once.
+	// Trials is the number of granted trials. TrialBy is the gateway or router that may send the
+	// request once.
 	Trials  int    `msgpack:"t,omitempty"`
 	TrialBy string `msgpack:"b,omitempty"`
-	// Released is true once an operator took it out of quarantine: one more crash puts it back.
+	// Released is true once an operator released the request from quarantine; one more crash puts
+	// it back.
 	Released bool `msgpack:"e,omitempty"`
 }
 
-// Same reports whether two readings of a suspect do not differ.
+// Same reports whether two records of a suspect are equal.
 func (s Suspect) Same(other Suspect) bool {
 	return slices.Equal(s.Crashes, other.Crashes) && s.Fingerprint == other.Fingerprint && s.Path == other.Path && s.Service == other.Service &&
 		s.Quarantined == other.Quarantined && s.Doubtful == other.Doubtful &&
 		s.Trials == other.Trials && s.TrialBy == other.TrialBy && s.Released == other.Released
 }
 
-// SameSuspects reports whether two lists do not differ.
+// SameSuspects reports whether two lists are equal.
 func SameSuspects(first, second []Suspect) bool {
 	return slices.EqualFunc(first, second, Suspect.Same)
 }
 
-// Suspects are all suspected requests, by fingerprint. The list is replaced as a whole and never
-// changed.
+// Suspects has all suspected requests, sorted by fingerprint. The list is replaced as a whole and
+// never modified.
 type Suspects struct {
 	List     []Suspect `msgpack:"l,omitempty"`
 	Revision Revision  `msgpack:"r"`
 }
 
-// PutSuspects replaces the suspects if they are still those of the revision that the list was made
-// from.
+// PutSuspects replaces all suspects if the current revision is still the one that the list is based
+// on.
 type PutSuspects struct {
 	List    []Suspect `msgpack:"l,omitempty"`
 	Follows Revision  `msgpack:"r,omitempty"`
@@ -79,24 +81,24 @@
 
 // Suspect returns the suspected request with a fingerprint.
 func (d *Directory) Suspect(fingerprint Fingerprint) (Suspect, bool) {
-	position := slices.IndexFunc(d.suspects.List, func(each Suspect) bool { return each.Fingerprint == fingerprint })
+	position := slices.IndexFunc(d.suspects.List, func(suspect Suspect) bool { return suspect.Fingerprint == fingerprint })
 	if position < 0 {
 		return Suspect{}, false
 	}
 	return d.suspects.List[position], true
 }
 
-func (d *Directory) applySuspects(revision Revision, put PutSuspects) error {
-	if put.Follows != d.suspects.Revision {
-		return fault.Newf(fault.Conflict, "the suspected requests changed at revision %d, after revision %d", d.suspects.Revision, put.Follows)
+func (d *Directory) applySuspects(revision Revision, command PutSuspects) error {
+	if command.Follows != d.suspects.Revision {
+		return fault.Newf(fault.Conflict, "the suspected requests changed at revision %d, after revision %d", d.suspects.Revision, command.Follows)
 	}
-	d.suspects = Suspects{List: put.List, Revision: revision}
+	d.suspects = Suspects{List: command.List, Revision: revision}
 	d.revision = revision
 	return nil
 }
 
-// applyRelease takes a request out of quarantine. One that is not there stays as it is, so that the
-// same order may come again.
+// applyRelease releases a request from quarantine. It has no effect on one that is not quarantined,
+// so the command may be repeated.
 func (d *Directory) applyRelease(revision Revision, fingerprint Fingerprint) {
 	suspect, found := d.Suspect(fingerprint)
 	if !found || !suspect.Quarantined {
@@ -112,7 +114,7 @@
 	d.revision = revision
 }
 
-// ForSenders returns the suspects without what gateways and routers need not know.
+// ForSenders returns the suspects without the fields that gateways and routers do not need.
 func (s Suspects) ForSenders() Suspects {
 	list := make([]Suspect, 0, len(s.List))
 	for _, suspect := range s.List {
--- a/internal/directory/suspect_test.go
+++ b/internal/directory/suspect_test.go
@@ -6,8 +6,8 @@
 	"github.com/thorntiller/thorntiller/internal/codec"
 )
 
-// TestSuspectsReachGateways: as a whole list, without what they need not know, and once; those that
-// are dropped go.
+// TestSuspectsReachGateways checks that gateways get the complete list once, without the fields
+// that they do not need, and that suspects that were dropped disappear there.
 func TestSuspectsReachGateways(t *testing.T) {
 	controllers, gateway := New(), New()
 	put := func(revision, follows Revision, suspects ...Suspect) {
@@ -45,7 +45,8 @@
 	}
 }
 
-// TestSuspectsOutlastSnapshots: and a directory of a version that knew of none can be read.
+// TestSuspectsOutlastSnapshots also checks that a snapshot of an earlier version, without suspects,
+// can be read.
 func TestSuspectsOutlastSnapshots(t *testing.T) {
 	d := New()
 	if err := d.Apply(5, Command{Suspects: &PutSuspects{List: []Suspect{{Fingerprint: 5, Crashes: []InstanceID{"a"}, Quarantined: true}}}}); err != nil {
@@ -73,7 +74,8 @@
 	}
 }
 
-// TestReleaseIsApplied: once, and only to a request in quarantine.
+// TestReleaseIsApplied checks that a release takes effect once, and only for a request in
+// quarantine.
 func TestReleaseIsApplied(t *testing.T) {
 	d := New()
 	if err := d.Apply(5, Command{Suspects: &PutSuspects{List: []Suspect{{Fingerprint: 5, Quarantined: true, TrialBy: "g"}, {Fingerprint: 6}}}}); err != nil {
--- a/internal/directory/tenant.go
+++ b/internal/directory/tenant.go
@@ -12,31 +12,32 @@
 	"github.com/thorntiller/thorntiller/internal/fault"
 )
 
-// Tenant is a customer whose callers show one of its API keys.
+// Tenant is a customer whose callers authenticate with one of its API keys.
 type Tenant struct {
 	Name string `json:"name"`
-	// APIKeys are as the operator gave them. Gateways get KeyHashes in their place.
+	// APIKeys are as the operator sent them. Gateways get KeyHashes instead.
 	APIKeys   []string  `json:"api_keys,omitempty"`
 	KeyHashes []KeyHash `json:"key_hashes,omitempty"`
-	// Priority goes before that of the route; 0 comes first, nil for none of its own.
+	// Priority overrides that of the route; 0 is the highest, nil keeps the route's.
 	Priority *int `json:"priority,omitempty"`
-	// RatePerSecond bounds the requests of all callers of the tenant through all gateways
-	// together, and Burst is how many more may come at once; a rate of zero is no bound.
+	// RatePerSecond bounds the requests of all callers of the tenant through all gateways together,
+	// and Burst is the number of additional requests that may arrive at once; a rate of zero means
+	// no bound.
 	RatePerSecond float64 `json:"rate_per_second,omitempty"`
 	Burst         float64 `json:"burst,omitempty"`
-	// AllowedRegions are the only ones whose servers may get the requests; empty for all.
+	// AllowedRegions restrict the servers that may get the requests; empty for no restriction.
 	AllowedRegions []string `json:"allowed_regions,omitempty"`
 	Version        uint64   `json:"version"`
 }
 
-// Limited reports whether the tenant's requests are bounded.
+// Limited reports whether the tenant has a rate limit.
 func (t Tenant) Limited() bool { return t.RatePerSecond > 0 }
 
-// keyHashBytes is the part of a SHA-256 hash by which API keys are known: two of a million
-// keys share it with a probability below 1e-26.
+// keyHashBytes is the length of the SHA-256 prefix that identifies an API key: the probability that
+// two of a million keys share it is below 1e-26.
 const keyHashBytes = 16
 
-// KeyHash stands for an API key, which cannot be found from it.
+// KeyHash identifies an API key, which cannot be derived from it.
 type KeyHash [keyHashBytes]byte
 
 // HashKey returns the hash of an API key.
@@ -63,7 +64,7 @@
 	return nil
 }
 
-// Hashes returns the hashes of the tenant's keys.
+// Hashes returns the hashes of all API keys of the tenant.
 func (t Tenant) Hashes() []KeyHash {
 	hashes := t.KeyHashes
 	for _, key := range t.APIKeys {
@@ -72,15 +73,15 @@
 	return hashes
 }
 
-// forGateways returns the item without what gateways need not know: API keys stay with the
-// controllers, gateways get their hashes.
+// forGateways returns the item without API keys: these stay with the controllers, gateways get
+// their hashes.
 func (i Item) forGateways() Item {
 	if i.Key.Kind != KindTenant || i.Dropped {
 		return i
 	}
 	tenant, err := i.Tenant()
 	if err != nil {
-		// Nothing of an item that cannot be read is passed on: it may hold keys.
+		// An item that cannot be decoded may contain API keys, so none of it is passed on.
 		i.Content = nil
 		return i
 	}
@@ -92,14 +93,14 @@
 }
 
 func itemsForGateways(items []Item) []Item {
-	var passedOn []Item
+	var redacted []Item
 	for _, item := range items {
-		passedOn = append(passedOn, item.forGateways())
+		redacted = append(redacted, item.forGateways())
 	}
-	return passedOn
+	return redacted
 }
 
-// Redacted returns the content without API keys, for people.
+// Redacted returns the content without API keys, for display to people.
 func (c Content) Redacted() Content {
 	c.Items = itemsForGateways(c.Items)
 	return c
@@ -129,24 +130,24 @@
 	return nil
 }
 
-// checkSharedKeys refuses a patch after which two tenants have the same key: it would not
-// tell whose requests they are. The error does not name the key.
-func (d *Directory) checkSharedKeys(after map[ItemKey]Item) error {
+// checkSharedKeys rejects a patch after which two tenants share an API key: the key would not
+// identify the tenant of a request. The error does not disclose the key.
+func (d *Directory) checkSharedKeys(replacements map[ItemKey]Item) error {
 	changed := false
-	for key, item := range after {
+	for key, item := range replacements {
 		changed = changed || key.Kind == KindTenant && !item.Dropped
 	}
 	if !changed {
 		return nil
 	}
 	owners := make(map[KeyHash]string)
-	take := func(item Item) error {
+	claimKeys := func(item Item) error {
 		tenant, err := item.Tenant()
 		if err != nil {
 			return fault.Newf(fault.InvalidArgument, "tenants: tenant %.64q: %v", item.Key.Name, err)
 		}
 		for _, hash := range tenant.Hashes() {
-			if owner, taken := owners[hash]; taken && owner != tenant.Name {
+			if owner, found := owners[hash]; found && owner != tenant.Name {
 				return fault.Newf(fault.InvalidArgument,
 					"tenants: tenants %.64q and %.64q share an API key: take it from one of them in the same call", owner, tenant.Name)
 			}
@@ -154,19 +155,19 @@
 		}
 		return nil
 	}
-	for key, held := range d.items {
-		if _, replaced := after[key]; replaced || key.Kind != KindTenant || held.Dropped {
+	for key, current := range d.items {
+		if _, replaced := replacements[key]; replaced || key.Kind != KindTenant || current.Dropped {
 			continue
 		}
-		if err := take(*held); err != nil {
+		if err := claimKeys(*current); err != nil {
 			return err
 		}
 	}
-	for key, item := range after {
+	for key, item := range replacements {
 		if key.Kind != KindTenant || item.Dropped {
 			continue
 		}
-		if err := take(item); err != nil {
+		if err := claimKeys(item); err != nil {
 			return err
 		}
 	}
--- a/internal/directory/tenant_test.go
+++ b/internal/directory/tenant_test.go
@@ -7,7 +7,7 @@
 	"github.com/thorntiller/thorntiller/internal/fault"
 )
 
-func applied(t *testing.T, view *Directory, revision Revision, body string) error {
+func applyBody(t *testing.T, view *Directory, revision Revision, body string) error {
 	t.Helper()
 	patch, err := ReadPatch([]byte(body))
 	if err != nil {
@@ -16,12 +16,12 @@
 	return view.Apply(revision, Command{Patch: &patch})
 }
 
-// TestTenantsAreCheckedAndReadBack: a tenant is read back as it was sent, an invalid one
-// changes nothing, and keys move between tenants within one call only.
+// TestTenantsAreCheckedAndReadBack checks that a tenant is read back as it was sent, that an
+// invalid one changes nothing, and that a key can move between tenants only within one call.
 func TestTenantsAreCheckedAndReadBack(t *testing.T) {
 	view := New()
 	first := `{"set":{"tenants":[{"name":"a","api_keys":["k1","k2"],"priority":0,"rate_per_second":3.5,"burst":7,"version":1},{"name":"b","api_keys":["k3"],"version":1}]}}`
-	if err := applied(t, view, 1, first); err != nil {
+	if err := applyBody(t, view, 1, first); err != nil {
 		t.Fatal(err)
 	}
 	for _, wrong := range []string{
@@ -35,29 +35,29 @@
 		`{"set":{"tenants":[{"name":"b","api_keys":["k3","k2"],"version":2}]}}`,
 		`{"set":{"tenants":[{"name":"c","api_keys":["k9"],"version":2},{"name":"d","api_keys":["k9"],"version":2}]}}`,
 	} {
-		err := applied(t, view, 2, wrong)
+		err := applyBody(t, view, 2, wrong)
 		if !fault.Is(err, fault.InvalidArgument) {
 			t.Errorf("%s: %v", wrong, err)
 			continue
 		}
 		if strings.Contains(err.Error(), "k2") || strings.Contains(err.Error(), "k9") {
-			t.Errorf("the error tells an API key: %v", err)
+			t.Errorf("the error discloses an API key: %v", err)
 		}
 	}
 	if got := len(view.ItemSet().Tenants); got != 2 || view.Revision() != 1 {
 		t.Errorf("%d tenants at revision %d after invalid calls", got, view.Revision())
 	}
-	passedOn := `{"set":{"tenants":[{"name":"a","api_keys":["k1"],"version":2},{"name":"b","api_keys":["k3","k2"],"version":2}]}}`
-	if err := applied(t, view, 3, passedOn); err != nil {
-		t.Errorf("a key that passes to another tenant within a call: %v", err)
+	movedKey := `{"set":{"tenants":[{"name":"a","api_keys":["k1"],"version":2},{"name":"b","api_keys":["k3","k2"],"version":2}]}}`
+	if err := applyBody(t, view, 3, movedKey); err != nil {
+		t.Errorf("a key that moves to another tenant within one call: %v", err)
 	}
-	if err := applied(t, view, 4, first); err != nil {
-		t.Errorf("an order that comes again: %v", err)
+	if err := applyBody(t, view, 4, first); err != nil {
+		t.Errorf("a repeated command: %v", err)
 	}
 	if got := string(view.ItemSet().Tenants[1]); got != `{"name":"b","api_keys":["k3","k2"],"version":2}` {
 		t.Errorf("tenant b is read back as %s", got)
 	}
-	if err := applied(t, view, 5, `{"remove":{"tenants":[{"name":"b","version":3}]}}`); err != nil {
+	if err := applyBody(t, view, 5, `{"remove":{"tenants":[{"name":"b","version":3}]}}`); err != nil {
 		t.Fatal(err)
 	}
 	if got := len(view.ItemSet().Tenants); got != 1 {
@@ -65,11 +65,12 @@
 	}
 }
 
-// TestGatewaysGetNoAPIKeys: neither from a controller nor from another gateway, nor does the
-// page for people show them; the hashes stay the same on the way.
+// TestGatewaysGetNoAPIKeys checks that API keys reach gateways neither from a controller nor from
+// another gateway, that the page for people does not show them, and that the hashes do not change
+// on the way.
 func TestGatewaysGetNoAPIKeys(t *testing.T) {
 	view := New()
-	if err := applied(t, view, 1, `{"set":{"tenants":[{"name":"a","api_keys":["secret-1","secret-2"],"version":1}]}}`); err != nil {
+	if err := applyBody(t, view, 1, `{"set":{"tenants":[{"name":"a","api_keys":["secret-1","secret-2"],"version":1}]}}`); err != nil {
 		t.Fatal(err)
 	}
 	for hop := range 3 {
@@ -96,8 +97,8 @@
 	}
 }
 
-// FuzzPatch: a call that is taken can be applied or is refused for a reason, and what was taken
-// is read back.
+// FuzzPatch checks that a patch that can be decoded either is applied completely and reaches a
+// gateway, or is rejected without any change.
 func FuzzPatch(f *testing.F) {
 	f.Add([]byte(`{"set":{"routes":[{"name":"r","host":"h","prefix":"/","kind":"download","service":"s","max_attempts":1,"version":1}],"services":[{"name":"s","version":1}],"tenants":[{"name":"t","api_keys":["k"],"rate_per_second":2,"version":1}],"limits":{"version":1}},"remove":{"tenants":[{"name":"x","version":2}]}}`))
 	f.Fuzz(func(t *testing.T, body []byte) {
@@ -108,7 +109,7 @@
 		view := New()
 		if view.Apply(1, Command{Patch: &patch}) != nil {
 			if view.Configured() {
-				t.Error("a call that was refused left something behind")
+				t.Error("a rejected patch changed the directory")
 			}
 			return
 		}
--- a/internal/directory/zone.go
+++ b/internal/directory/zone.go
@@ -7,8 +7,8 @@
 	"github.com/thorntiller/thorntiller/internal/fault"
 )
 
-// Zone is what operators ask of a zone. The directory remembers zones that were
-// evacuated at some time.
+// Zone is the state that operators requested for a zone. The directory keeps zones that have ever
+// been evacuated.
 type Zone struct {
 	Name string `msgpack:"n"`
 	// Evacuated zones get no requests, and their instances hold no keys.
@@ -16,20 +16,20 @@
 	Revision  Revision `msgpack:"r"`
 }
 
-// maxZoneName bounds the name of a zone in bytes, and maxZones the zones that are
-// remembered: operators name them, so that neither may grow without bound.
+// maxZoneNameBytes bounds the length of a zone name, and maxZones the number of zones that are
+// kept: operators choose the names, so neither may grow without bound.
 const (
-	maxZoneName = 63
-	maxZones    = 1024
+	maxZoneNameBytes = 63
+	maxZones         = 1024
 )
 
-// CheckZone refuses a change of a zone that cannot be applied. A zone is known if its
-// name is among those given or an instance has announced itself there. The error is of
-// the kind invalid_argument or not_found.
+// CheckZone rejects a change of a zone that cannot be applied. A zone is known if it was evacuated
+// before, its name is in names, or an instance announced itself there. The error is of kind
+// invalid_argument or not_found.
 func (d *Directory) CheckZone(zone Zone, names []string) error {
 	switch {
-	case zone.Name == "" || len(zone.Name) > maxZoneName:
-		return fault.Newf(fault.InvalidArgument, "zone: %.80q has %d bytes: give a name of 1 to %d bytes", zone.Name, len(zone.Name), maxZoneName)
+	case zone.Name == "" || len(zone.Name) > maxZoneNameBytes:
+		return fault.Newf(fault.InvalidArgument, "zone: %.80q has %d bytes: give a name of 1 to %d bytes", zone.Name, len(zone.Name), maxZoneNameBytes)
 	case d.zones[zone.Name] != nil || slices.Contains(names, zone.Name) || d.hasInstanceIn(zone.Name):
 		return nil
 	default:
@@ -46,13 +46,13 @@
 	return false
 }
 
-// Evacuated reports whether a zone gets no requests.
+// Evacuated reports whether a zone is evacuated.
 func (d *Directory) Evacuated(zone string) bool {
-	held, found := d.zones[zone]
-	return found && held.Evacuated
+	current, found := d.zones[zone]
+	return found && current.Evacuated
 }
 
-// Zones returns the zones that were evacuated at some time, by name.
+// Zones returns the zones that have ever been evacuated, sorted by name.
 func (d *Directory) Zones() []Zone {
 	zones := make([]Zone, 0, len(d.zones))
 	for _, zone := range d.zones {
@@ -62,8 +62,8 @@
 	return zones
 }
 
-// applyZone evacuates or restores a zone. One that is so already stays as it is, so that
-// the same order may come again.
+// applyZone evacuates or restores a zone. It has no effect if the zone already is in that state, so
+// the command may be repeated.
 func (d *Directory) applyZone(revision Revision, zone Zone) error {
 	if d.Evacuated(zone.Name) == zone.Evacuated {
 		return nil
@@ -80,8 +80,8 @@
 	return nil
 }
 
-// assumeCold takes the instances of a restored zone for cold until their next heartbeats:
-// they may have turned cold since the last ones.
+// assumeCold marks the instances of a restored zone as cold until their next heartbeats: they may
+// have become cold since the last ones.
 func (d *Directory) assumeCold(revision Revision, zone string) {
 	for instance := range d.EachInstance() {
 		service, found := d.services[instance.Service]
@@ -90,6 +90,6 @@
 		}
 		instance.WarmUp = service.WarmUpTime()
 		instance.ColdSince = revision
-		d.putInstance(revision, instance)
+		d.updateInstance(revision, instance)
 	}
 }
--- a/internal/directory/zone_test.go
+++ b/internal/directory/zone_test.go
@@ -7,13 +7,12 @@
 	"github.com/thorntiller/thorntiller/internal/fault"
 )
 
-// TestZonesAreEvacuatedAndRestored: each order may come again, and changes nothing then;
-// several zones at once, and the last one too; all of it is carried by the content that
-// gateways and snapshots get.
+// TestZonesAreEvacuatedAndRestored checks that a repeated command changes nothing, that several
+// zones and even the last one can be evacuated, and that gateways and snapshots get these states.
 func TestZonesAreEvacuatedAndRestored(t *testing.T) {
-	d := configured(t)
+	d := newConfigured(t)
 	revision := Revision(10)
-	order := func(name string, evacuated bool) bool {
+	setEvacuated := func(name string, evacuated bool) bool {
 		t.Helper()
 		revision++
 		if err := d.Apply(revision, Command{Zone: &Zone{Name: name, Evacuated: evacuated}}); err != nil {
@@ -29,7 +28,7 @@
 		{"west", false, false}, {"west", true, true}, {"west", true, false}, {"east", true, true},
 		{"west", false, true}, {"west", false, false}, {"west", true, true},
 	} {
-		if changed := order(c.name, c.evacuated); changed != c.changes || d.Evacuated(c.name) != c.evacuated {
+		if changed := setEvacuated(c.name, c.evacuated); changed != c.changes || d.Evacuated(c.name) != c.evacuated {
 			t.Errorf("%+v: changed %v, evacuated %v", c, changed, d.Evacuated(c.name))
 		}
 	}
@@ -39,20 +38,20 @@
 		t.Errorf("restored zones %+v", restored.Zones())
 	}
 	clone := d.Clone()
-	order("east", false)
+	setEvacuated("east", false)
 	if !clone.Evacuated("east") {
 		t.Error("a clone changed")
 	}
 	restored.Take(d.Since(restored.Revision()))
 	if restored.Evacuated("east") {
-		t.Error("the change is not carried")
+		t.Error("Since omits the change")
 	}
 }
 
-// TestZoneOrdersAreChecked: a name that makes no sense, or that nobody knows, names the
-// field, the value and the remedy.
+// TestZoneOrdersAreChecked checks that the error for an invalid or unknown zone name names the
+// field.
 func TestZoneOrdersAreChecked(t *testing.T) {
-	d := configured(t)
+	d := newConfigured(t)
 	if err := d.Apply(5, Command{Instances: []Instance{{ID: "i", Service: "s1", Zone: "south", State: InstanceReady}}}); err != nil {
 		t.Fatal(err)
 	}
@@ -66,9 +65,9 @@
 	}
 }
 
-// TestGatewaysAreCarried to gateways and snapshots.
+// TestGatewaysAreCarried checks that gateways and snapshots get the number of gateways, once.
 func TestGatewaysAreCarried(t *testing.T) {
-	d := configured(t)
+	d := newConfigured(t)
 	if err := d.Apply(9, Command{Gateways: 79}); err != nil {
 		t.Fatal(err)
 	}
@@ -78,6 +77,6 @@
 		t.Errorf("%d gateways", other.Gateways())
 	}
 	if changes := d.Since(9); changes.Fleet != nil {
-		t.Errorf("told again: %+v", changes.Fleet)
+		t.Errorf("sent again: %+v", changes.Fleet)
 	}
 }
