--- a/internal/message/directory_test.go
+++ b/internal/message/directory_test.go
@@ -25,7 +25,8 @@
 }
 
 // TestReportsOfTwoVersionsAreRead guards against gateways and controllers that reject each other's
-// reports while one after the other is upgraded: asks with one more field could not be read.
+// reports while they are upgraded one after the other: asks with an additional field could not be
+// decoded.
 func TestReportsOfTwoVersionsAreRead(t *testing.T) {
 	ask := quota.Ask{Subject: "view-1", Want: 3, Used: 2, Rate: 5.2, Urgency: 9, UsedAgoMs: 700}
 	report := DemandReport{Quotas: []quota.Ask{{Subject: "tenant-1", Want: 5}}}
@@ -39,7 +40,7 @@
 		t.Fatal(err)
 	}
 	if asks := same.InstanceAsks(); len(asks) != 2 || asks[1] != ask || asks[0].UsedAgoMs != 0 {
-		t.Errorf("the same version reads %+v", asks)
+		t.Errorf("the same version decodes %+v", asks)
 	}
 	report.Quarantine = &quarantine.Report{Number: 4, Crashes: []quarantine.Crash{{Fingerprint: 5, Instance: "view-1"}}}
 	if encoded, err = codec.Marshal(&report); err != nil {
@@ -47,7 +48,7 @@
 	}
 	var earlier reportOfEarlierVersions
 	if err := codec.Unmarshal(encoded, &earlier); err != nil || len(earlier.Instances) != 2 || earlier.Instances[1].Used != 2 || earlier.Quotas[0].Want != 5 {
-		t.Errorf("an earlier version reads %+v: %v", earlier, err)
+		t.Errorf("an earlier version decodes %+v: %v", earlier, err)
 	}
 	encoded, err = codec.Marshal(&reportOfEarlierVersions{Instances: []askOfEarlierVersions{{Subject: "view-1", Used: 2}}})
 	if err != nil {
@@ -55,6 +56,6 @@
 	}
 	var later DemandReport
 	if err := codec.Unmarshal(encoded, &later); err != nil || len(later.InstanceAsks()) != 1 || later.InstanceAsks()[0].Used != 2 {
-		t.Errorf("a report of an earlier version reads as %+v: %v", later, err)
+		t.Errorf("a report of an earlier version is decoded as %+v: %v", later, err)
 	}
 }
--- a/internal/message/doc.go
+++ b/internal/message/doc.go
@@ -1,4 +1,4 @@
-// Package message holds the typed messages that travel between this project's
-// own processes in msgpack frames: controllers among themselves, routers with
-// controllers, and routers among themselves.
+// Package message defines the messages that this project's processes exchange as msgpack frames:
+// controllers among themselves, routers and gateways with controllers, and routers and gateways
+// among themselves.
 package message
--- a/internal/message/heartbeat.go
+++ b/internal/message/heartbeat.go
@@ -6,9 +6,9 @@
 	"github.com/thorntiller/thorntiller/internal/heartbeat"
 )
 
-// HeartbeatCall hands a heartbeat on to the leader, or the word of a server that it leaves.
+// HeartbeatCall forwards a heartbeat to the leader, or a server's announcement that it leaves.
 type HeartbeatCall struct {
-	// Beat is nil for a server that leaves.
+	// Beat is nil if a server leaves; Leaving then identifies it.
 	Beat    *heartbeat.Beat       `msgpack:"b,omitempty"`
 	Leaving directory.Incarnation `msgpack:"l"`
 }
@@ -16,7 +16,7 @@
 // HeartbeatAnswer answers a HeartbeatCall.
 type HeartbeatAnswer struct {
 	Grant heartbeat.Grant `msgpack:"g"`
-	// Kind is empty for a call that was taken.
+	// Kind is the kind of the error; empty for a call that was accepted.
 	Kind   fault.Kind `msgpack:"k,omitempty"`
 	Detail string     `msgpack:"d,omitempty"`
 }
--- a/internal/message/place.go
+++ b/internal/message/place.go
@@ -1,25 +1,27 @@
 package message
 
-// PlaceRequest is a message from a gateway to one that gives out the places of instances.
+// PlaceRequest is a message from a gateway to a keeper, which is a gateway that allocates slots of
+// instances. A place is the permission to send one request; see package room.
 type PlaceRequest struct {
 	Asks []PlaceAsk `msgpack:"a,omitempty"`
 	Ends []PlaceEnd `msgpack:"e,omitempty"`
 }
 
-// PlaceAsk asks for a place.
+// PlaceAsk requests a place.
 type PlaceAsk struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
-	// Number tells the asks on a connection apart.
+	// Number identifies the ask on its connection.
 	Number uint32
-	// Queue is the hash of the name of a pool or, for keys, the reference of their holder.
+	// Queue is the hash of a pool's name or, for keyed requests, the reference of the instance that
+	// holds the key.
 	Queue uint32
-	// Urgency is the rank of the route, from 0 for the least urgent to 100.
+	// Urgency is the urgency of the route, from 0 for the least urgent to 100.
 	Urgency    uint8
 	TargetMs   uint32
 	DeadlineMs uint32
 }
 
-// PlaceEnd gives a place back, or ends the wait for one.
+// PlaceEnd returns a place, or withdraws an ask that still waits for one.
 type PlaceEnd struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Number   uint32
@@ -28,19 +30,19 @@
 	TookMs  uint32
 }
 
-// PlaceReply is a message to a gateway that asked for places.
+// PlaceReply is a message from a keeper to a gateway that asked for places.
 type PlaceReply struct {
 	Answers []PlaceAnswer `msgpack:"a"`
 }
 
-// PlaceAnswer tells what became of an ask.
+// PlaceAnswer is the result of an ask.
 type PlaceAnswer struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // read by the codec
 	Number   uint32
 	// Verdict is a room.Verdict.
 	Verdict uint8
-	// Server is the reference of the instance of a granted place.
+	// Server is the reference of the instance that the place is granted for.
 	Server uint32
-	// WaitMs is when the next ask of the queue is expected to get a place.
+	// WaitMs is the expected time until the next ask of the queue gets a place.
 	WaitMs uint32
 }
--- a/internal/message/types.go
+++ b/internal/message/types.go
@@ -9,27 +9,27 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
-// ClusterID names one group of controllers. It is drawn at formation.
+// ClusterID identifies a group of controllers. It is generated when the group is formed.
 type ClusterID string
 
-// Purpose tells what a connection is for.
+// Purpose is the purpose of a connection.
 type Purpose string
 
 // Purposes of a connection.
 const (
-	// PurposeConsensus carries consensus messages one way between controllers.
+	// PurposeConsensus carries consensus messages between controllers in one direction.
 	PurposeConsensus Purpose = "consensus"
-	// PurposeFormation asks a controller for the group's formation.
+	// PurposeFormation carries a controller's questions about the formation of the group.
 	PurposeFormation Purpose = "formation"
-	// PurposeHeartbeats hands heartbeats of instances on to the leader.
+	// PurposeHeartbeats forwards heartbeats of instances to the leader.
 	PurposeHeartbeats Purpose = "heartbeats"
 	// PurposeTable subscribes a router to the routing table.
 	PurposeTable Purpose = "table"
 	// PurposeDirectory subscribes a gateway to the directory.
 	PurposeDirectory Purpose = "directory"
-	// PurposeDemand carries a gateway's counts of requests to the leader.
+	// PurposeDemand carries a gateway's demand reports to the leader.
 	PurposeDemand Purpose = "demand"
-	// PurposePlaces asks a gateway for the places of instances.
+	// PurposePlaces carries requests for places to a keeper; see PlaceRequest.
 	PurposePlaces Purpose = "places"
 	// PurposeRouter carries requests between routers.
 	PurposeRouter Purpose = "router"
@@ -39,7 +39,7 @@
 type Hello struct {
 	Purpose Purpose
 	Cluster ClusterID
-	// From names the connecting process.
+	// From is the name of the connecting process.
 	From string
 }
 
@@ -56,41 +56,39 @@
 	Cluster ClusterID
 }
 
-// FormationAnswer tells what the answering controller knows of the group.
+// FormationAnswer describes what the answering controller knows of the group.
 type FormationAnswer struct {
 	Member  consensus.Member
 	Cluster ClusterID
-	// Founders are the first members, in force at log index 0. Empty while the
-	// group is not formed.
+	// Founders are the initial members, in effect at log index 0; empty until the group is formed.
 	Founders []consensus.Member
-	// Current is the newest membership that the answering controller knows.
+	// Current is the newest membership known to the answering controller.
 	Current []consensus.Member
-	// Leader is the address of the leader, if known.
+	// Leader is the address of the leader; empty if unknown.
 	Leader string
-	// MayFound tells whether the answering controller may form a group.
+	// MayFound is true if the answering controller may form a group.
 	MayFound bool `msgpack:",omitempty"`
 }
 
 // RouterHello introduces a router on a table connection.
 type RouterHello struct {
 	Router state.Router
-	// Cluster and Revision are what the router holds; zero for none.
+	// Cluster and Revision identify the table that the router has; zero for none.
 	Cluster  ClusterID
 	Revision state.Revision
 	Digest   uint64
-	// Resync asks for a whole table, not older than Revision.
+	// Resync asks for a whole table that is not older than Revision.
 	Resync bool
-	// Times are the router's settings that must fit those of the controllers; nil
-	// from a process that does not tell them.
+	// Times are the settings of the router that must be compatible with those of the controllers;
+	// nil from a process that does not send them.
 	Times *config.RouterTimes `msgpack:",omitempty"`
-	// Services are the only ones that the router routes; empty for all. Digest is
-	// then of their sections and the common one.
+	// Services are the services that the router routes; empty for all. Digest then covers only
+	// their sections and the common one.
 	Services []state.ServiceName `msgpack:",omitempty"`
 }
 
-// RouterFrame is a message from a router on a table connection; exactly one
-// field is set. Pings and pongs have short names on the wire, since they are most
-// of what control sends.
+// RouterFrame is a message from a router on a table connection; exactly one field is set. The names
+// of pings and pongs on the wire are short because they are most of the control traffic.
 type RouterFrame struct {
 	Hello *RouterHello `msgpack:"h,omitempty"`
 	Ping  *Ping        `msgpack:"p,omitempty"`
@@ -99,33 +97,33 @@
 // Ping asks for proof that the router's table is current.
 type Ping struct {
 	Nonce uint64 `msgpack:"n,omitempty"`
-	// SentNs is the router's own monotonic clock, echoed in Pong.
+	// SentNs is the time of sending by the router's monotonic clock, echoed in Pong.
 	SentNs int64 `msgpack:"t,omitempty"`
-	// Revision is the table revision in force on the router.
+	// Revision is the table revision in effect on the router.
 	Revision state.Revision `msgpack:"r,omitempty"`
-	// SyncedPartitions lists record partitions, of which this router is the
-	// primary, whose backup now holds every record.
+	// SyncedPartitions lists the record partitions with this router as primary whose backup now has
+	// every record.
 	SyncedPartitions []PartitionSync `msgpack:"s,omitempty"`
-	// FailedBackups lists partitions whose backup does not answer the primary.
+	// FailedBackups lists the partitions whose backup does not answer the primary.
 	FailedBackups []PartitionSync `msgpack:"f,omitempty"`
-	// FailedFormers lists partitions whose former copy does not answer the primary, and KeepsFormers
-	// says that the router knows of former copies.
+	// FailedFormers lists the partitions whose former copy does not answer the primary.
+	// KeepsFormers is true if the router's version supports former copies.
 	FailedFormers []PartitionSync `msgpack:"o,omitempty"`
 	KeepsFormers  bool            `msgpack:"k,omitempty"`
-	// Leaving says that the router stops and wants its partitions moved.
+	// Leaving is true while the router shuts down and needs its partitions moved.
 	Leaving bool `msgpack:"l,omitempty"`
-	// Stopped promises that the router process acts as a primary never again, so
-	// that its lease need not be waited out.
+	// Stopped guarantees that the router process will never act as a primary again, so that its
+	// lease does not have to expire first.
 	Stopped bool `msgpack:"x,omitempty"`
-	// Unreachable lists routers that do not answer this one.
+	// Unreachable lists the routers that do not answer this one.
 	Unreachable []state.RouterID `msgpack:"u,omitempty"`
-	// Quarantine tells of requests under which servers crash, and Suspects is the revision of the
+	// Quarantine reports requests under which servers crash. Suspects is the revision of the
 	// suspected requests that the router has.
 	Quarantine *quarantine.Report `msgpack:"q,omitempty"`
 	Suspects   directory.Revision `msgpack:"d,omitempty"`
 }
 
-// PartitionSync names one record partition at one epoch.
+// PartitionSync identifies a record partition at an epoch.
 type PartitionSync struct {
 	Number int
 	Epoch  state.Epoch
@@ -141,15 +139,15 @@
 	Notice   *Notice        `msgpack:",omitempty"`
 }
 
-// Notice tells a router that its settings do not fit those of the controllers or
-// of other routers. It is sent only to routers that told their settings.
+// Notice reports that a router's settings are incompatible with those of the controllers or of
+// other routers. It is sent only to routers that sent their settings.
 type Notice struct {
-	// Problems name field, value and remedy, one a line.
+	// Problems has one problem per element, with its field, value and remedy.
 	Problems []string
 }
 
-// TableSnapshot is a part of the whole routing table. Parts come in order; the
-// table is complete with Last.
+// TableSnapshot is a part of the whole routing table. Parts arrive in order; the table is complete
+// after the part with Last.
 type TableSnapshot struct {
 	Cluster  ClusterID
 	Revision state.Revision
@@ -159,7 +157,7 @@
 	Last     bool
 }
 
-// TableDelta changes the table from one revision to the next.
+// TableDelta changes the table from revision From to revision To.
 type TableDelta struct {
 	From    state.Revision
 	To      state.Revision
@@ -168,29 +166,29 @@
 	Digest uint64
 }
 
-// Pong proves that Revision covered every change acknowledged before the ping
-// was received: the leader confirmed its leadership with a quorum after that.
+// Pong proves that Revision covered every change that was acknowledged before the ping was
+// received: the leader confirmed its leadership with a quorum after that.
 type Pong struct {
 	Nonce    uint64         `msgpack:"n,omitempty"`
 	SentNs   int64          `msgpack:"t,omitempty"`
 	Revision state.Revision `msgpack:"r,omitempty"`
-	// Session is the router's session, zero when it has none.
+	// Session is the router's session; zero if it has none.
 	Session state.SessionNumber `msgpack:"s,omitempty"`
-	// LeaseNs is how long, counted from SentNs on the router's clock, the
-	// router may act as a record primary. Zero grants nothing.
+	// LeaseNs is the time for which the router may act as a record primary, counted from SentNs on
+	// the router's clock. Zero grants nothing.
 	LeaseNs int64 `msgpack:"l,omitempty"`
 	// Heard is the number of the quarantine report in the ping; zero for none. Suspects are all
-	// suspected requests, if the router has not those of the newest revision.
+	// suspected requests, sent if the router does not have the newest revision.
 	Heard    uint64              `msgpack:"h,omitempty"`
 	Suspects *directory.Suspects `msgpack:"u,omitempty"`
 }
 
-// Refusal ends a connection with a reason.
+// Refusal ends a connection and gives the reason.
 type Refusal struct {
 	Kind fault.Kind
-	// Detail names the leader's address, with fault.NotLeader, if it is known.
+	// Detail is the address of the leader with fault.NotLeader, if it is known.
 	Detail string
-	// From is the address that the refusing controller announces. Routers may
-	// reach it by another one.
+	// From is the address that the refusing controller announces. Routers may reach it by another
+	// one.
 	From string
 }
