--- a/internal/directoryapi/types.go
+++ b/internal/directoryapi/types.go
@@ -1,6 +1,6 @@
-// Package directoryapi is the published interface by which instances announce
-// themselves and renew their leases, and by which operators change and read the
-// items of the traffic configuration. docs/BACKEND.md describes it.
+// Package directoryapi defines the public API by which instances announce themselves and renew
+// their leases, and by which operators change and read the items of the traffic configuration.
+// docs/BACKEND.md describes it.
 package directoryapi
 
 import (
@@ -17,17 +17,17 @@
 
 // Paths of the calls, all by POST.
 const (
-	// PathItems takes a directory.PatchBody.
+	// PathItems accepts a directory.PatchBody.
 	PathItems = "/v1/items"
-	// PathReadItems answers a directory.ItemSet.
+	// PathReadItems returns a directory.ItemSet.
 	PathReadItems = "/v1/items/read"
-	// PathHeartbeat takes a Heartbeat and answers an Answer.
+	// PathHeartbeat accepts a Heartbeat and returns an Answer.
 	PathHeartbeat = "/v1/instances/:id/heartbeat"
-	// PathEvacuate asks that the instances of a zone get no requests, and PathRestore
-	// takes that back. Neither has a body, and both may be sent again.
+	// PathEvacuate stops requests to the instances of a zone, and PathRestore reverts that. Neither
+	// has a body, and both may be repeated.
 	PathEvacuate = "/v1/zones/:zone/evacuate"
 	PathRestore  = "/v1/zones/:zone/restore"
-	// PathLeave says that an instance leaves for good.
+	// PathLeave announces that an instance leaves for good.
 	PathLeave = "/v1/instances/:id/leave"
 )
 
@@ -40,48 +40,50 @@
 // Heartbeat is the body of an instance's heartbeat.
 type Heartbeat struct {
 	Service string `json:"service"`
-	// Address accepts requests, IP:port.
+	// Address is the IP:port that accepts requests.
 	Address string `json:"address"`
 	Zone    string `json:"zone"`
 	Slots   int    `json:"slots"`
 	State   string `json:"state"`
-	// WarmUpLeftMs is how much longer the instance is slow from its start.
+	// WarmUpLeftMs is the remaining time for which the instance is slow after its start.
 	WarmUpLeftMs float64 `json:"warm_up_left_ms"`
 	Sequence     uint64  `json:"sequence"`
-	// Born is when the server started, as Unix milliseconds of its own clock: a server may
-	// start again under its identifier.
+	// Born is the start time in Unix milliseconds by the server's own clock: a server may restart
+	// with the same identifier.
 	Born StartTime `json:"born"`
-	// Holdings are rows of first key, last key and fence that the instance holds or
-	// still works on.
+	// Holdings are rows of first key, last key and fence, of the keys that the instance holds or
+	// for which it still processes requests.
 	Holdings []HeldRow `json:"holdings"`
-	// Released are rows of first key, last key and handover that it let go since the
-	// last heartbeat that was acknowledged.
+	// Released are rows of first key, last key and handover, of the keys that the instance released
+	// since the last acknowledged heartbeat.
 	Released []ReleasedRow `json:"released"`
 }
 
-// StartTime is when a server started, as Unix milliseconds; zero for one that does not tell it.
+// StartTime is the start time of a server in Unix milliseconds; zero for a server that does not
+// report it.
 type StartTime uint64
 
-// latestStart bounds the times of start: what a JSON number holds exactly.
-const latestStart = 1 << 53
+// maxStartTime bounds start times: integers up to it are represented exactly by a JSON number.
+const maxStartTime = 1 << 53
 
-// UnmarshalJSON implements json.Unmarshaler. Only whole numbers above 0 are times of start.
+// UnmarshalJSON implements json.Unmarshaler. Valid start times are whole numbers above 0, up to
+// maxStartTime.
 func (t *StartTime) UnmarshalJSON(data []byte) error {
 	const decimal, bits = 10, 64
 	milliseconds, err := strconv.ParseUint(string(data), decimal, bits)
-	if err != nil || milliseconds == 0 || milliseconds > latestStart {
+	if err != nil || milliseconds == 0 || milliseconds > maxStartTime {
 		return fault.Newf(fault.InvalidArgument, "born: %.40s is no time of a start: give whole Unix milliseconds", data)
 	}
 	*t = StartTime(milliseconds)
 	return nil
 }
 
-// Leave is the body by which a server says that it leaves for good; it may be empty.
+// Leave is the body by which a server announces that it leaves for good; the body may be empty.
 type Leave struct {
 	Born StartTime `json:"born"`
 }
 
-// ReadLeave reads the body of a server's word that it leaves.
+// ReadLeave decodes the body of a call to PathLeave.
 func ReadLeave(body []byte) (Leave, error) {
 	var leave Leave
 	if len(bytes.TrimSpace(body)) == 0 {
@@ -93,7 +95,7 @@
 	return leave, nil
 }
 
-// HeldRow is a row of first key, last key and fence.
+// HeldRow is a row of first key, last key and fence, encoded as a JSON array.
 type HeldRow heartbeat.Held
 
 // UnmarshalJSON implements json.Unmarshaler.
@@ -101,7 +103,7 @@
 	return readRow(data, &r.First, &r.Last, &r.Fence)
 }
 
-// ReleasedRow is a row of first key, last key and handover.
+// ReleasedRow is a row of first key, last key and handover, encoded as a JSON array.
 type ReleasedRow heartbeat.Released
 
 // UnmarshalJSON implements json.Unmarshaler.
@@ -125,7 +127,7 @@
 	return nil
 }
 
-// Beat checks the body and returns it in the terms of package heartbeat.
+// Beat validates the heartbeat and converts it to the type of package heartbeat.
 func (h Heartbeat) Beat(server string) (heartbeat.Beat, error) {
 	switch {
 	case !directory.ValidServer(server):
@@ -161,30 +163,30 @@
 	return err == nil && parsed.Port() != 0
 }
 
-// longestWarmUpMs bounds the time for which an instance may say that it is slow.
-const longestWarmUpMs = 60_000
+// maxWarmUpMs bounds the remaining warm-up time that an instance may report.
+const maxWarmUpMs = 60_000
 
-// WarmUpInBounds reports whether the time that the instance is still slow makes sense.
+// WarmUpInBounds reports whether the reported remaining warm-up time is valid.
 func (h Heartbeat) WarmUpInBounds() bool {
-	return h.WarmUpLeftMs >= 0 && h.WarmUpLeftMs <= longestWarmUpMs
+	return h.WarmUpLeftMs >= 0 && h.WarmUpLeftMs <= maxWarmUpMs
 }
 
-// warmUp returns the time that the instance is still slow, within bounds.
+// warmUp returns the reported remaining warm-up time, clamped to the valid range.
 func (h Heartbeat) warmUp() time.Duration {
-	return time.Duration(min(max(h.WarmUpLeftMs, 0), longestWarmUpMs) * float64(time.Millisecond))
+	return time.Duration(min(max(h.WarmUpLeftMs, 0), maxWarmUpMs) * float64(time.Millisecond))
 }
 
 // Answer is the answer to a heartbeat.
 type Answer struct {
-	// HeartbeatAddress takes the instance's later heartbeats.
+	// HeartbeatAddress is the address for the instance's next heartbeats.
 	HeartbeatAddress string `json:"heartbeat_address,omitempty"`
-	// Holdings are all that the instance may hold; nil renews nothing.
+	// Holdings are all keys that the instance may hold; nil if nothing is renewed.
 	Holdings *[]GrantedRow `json:"holdings,omitempty"`
-	// LeaseMs counts from the sending of the heartbeat.
+	// LeaseMs is the length of the lease, counted from the sending of the heartbeat.
 	LeaseMs int64 `json:"lease_ms,omitempty"`
 }
 
-// GrantedRow is a row of first key, last key, fence and handover.
+// GrantedRow is a row of first key, last key, fence and handover, encoded as a JSON array.
 type GrantedRow directory.Holding
 
 // MarshalJSON implements json.Marshaler.
@@ -194,18 +196,18 @@
 
 // Bounds of an answer, in bytes.
 const (
-	// MaxAnswerBytes is the largest answer that an instance takes.
+	// MaxAnswerBytes is the size of the largest answer that an instance accepts.
 	MaxAnswerBytes = 4096
-	// envelopeBytes is the most that the answer takes beside its rows.
+	// envelopeBytes bounds the size of an answer without its rows.
 	envelopeBytes = 112
-	// rowBytes is what a row takes beside its numbers and its handover.
+	// rowBytes is the size of a row without its numbers and its handover.
 	rowBytes = len(`[,,,""],`)
 )
 
-// AnswerOf returns the answer for a grant by the controller at an address. One that
-// would be larger than an instance takes is cut: first handovers are left out, of the
-// last rows first, then rows, which the instance then lets go. It reports how many rows
-// were left out.
+// AnswerOf returns the answer for a grant by the controller at an address. An answer larger than an
+// instance accepts is reduced: handovers are left out first, starting at the last row, then whole
+// rows, starting at the last; the instance releases the keys of these rows. leftOut is the number
+// of rows that were left out.
 func AnswerOf(grant heartbeat.Grant, address string) (answer Answer, leftOut int) {
 	answer = Answer{HeartbeatAddress: address}
 	if !grant.Renewed {
@@ -231,7 +233,7 @@
 	return answer, len(grant.Holdings) - len(rows)
 }
 
-// size returns the bytes of the row in an answer.
+// size returns the size of the row in an answer, in bytes.
 func (r GrantedRow) size() int {
 	const decimal = 10
 	digits := func(number uint64) int { return len(strconv.FormatUint(number, decimal)) }
--- a/internal/directoryapi/types_test.go
+++ b/internal/directoryapi/types_test.go
@@ -10,18 +10,18 @@
 	"github.com/thorntiller/thorntiller/internal/heartbeat"
 )
 
-// TestAnswerSize: the most rows that package heartbeat grants, some of them new with a
-// handover, fit an answer of 4 KiB, beyond which an instance takes none.
+// TestAnswerSize checks that the largest number of rows that package heartbeat grants, some of them
+// new and with a handover, fits into an answer of 4 KiB; instances reject larger answers.
 func TestAnswerSize(t *testing.T) {
-	const rows, fresh, most = 165, 12, 4096
-	grant := grantOf(rows, fresh, 99)
+	const rows, handovers, maxBytes = 165, 12, 4096
+	grant := grantOf(rows, handovers, 99)
 	answer, leftOut := AnswerOf(grant, "255.255.255.255:65535")
 	encoded, err := json.Marshal(answer)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(encoded) > most || leftOut != 0 {
-		t.Errorf("%d rows take %d bytes with %d left out, want %d at most", rows, len(encoded), leftOut, most)
+	if len(encoded) > maxBytes || leftOut != 0 {
+		t.Errorf("%d rows take %d bytes with %d left out, want %d at most", rows, len(encoded), leftOut, maxBytes)
 	}
 }
 
@@ -38,8 +38,9 @@
 	return grant
 }
 
-// TestAnswerIsCutToSize: an instance that is granted more than an answer holds gets one
-// that it takes: without the last handovers, and only then without the last rows.
+// TestAnswerIsCutToSize checks that an instance that is granted more than an answer holds gets an
+// answer that it accepts: without the last handovers, and without the last rows only if that is not
+// enough.
 func TestAnswerIsCutToSize(t *testing.T) {
 	for _, c := range []struct{ rows, handovers, leftOut int }{{160, 80, 0}, {250, 250, 30}} {
 		grant := grantOf(c.rows, c.handovers, 9)
@@ -60,7 +61,8 @@
 	}
 }
 
-// TestHeartbeatIsRead: rows as the platform writes them, and what is refused.
+// TestHeartbeatIsRead checks that rows in the platform's format are decoded and that invalid
+// heartbeats are rejected.
 func TestHeartbeatIsRead(t *testing.T) {
 	var body Heartbeat
 	text := `{"service":"s","address":"127.0.0.1:1","zone":"z","slots":2,"state":"draining","sequence":4,"warm_up_left_ms":1500,
@@ -70,21 +72,21 @@
 	}
 	beat, err := body.Beat("i")
 	if err != nil || !beat.Draining || beat.WarmUp != 1500*time.Millisecond || beat.Held[0].Fence != 7 || beat.Released[0].Handover != "token" {
-		t.Errorf("read %+v, %v", beat, err)
+		t.Errorf("decoded %+v, %v", beat, err)
 	}
 	for _, wrong := range []Heartbeat{
 		{Address: "a", State: StateReady}, {Service: "s", State: StateReady}, {Service: "s", Address: "a", State: "tired"},
 	} {
 		if _, err := wrong.Beat("i"); err == nil {
-			t.Errorf("%+v is taken", wrong)
+			t.Errorf("%+v is accepted", wrong)
 		}
 	}
 	if err := json.Unmarshal([]byte(`{"holdings":[[0,4095]]}`), &body); err == nil {
-		t.Error("a row of two cells is taken")
+		t.Error("a row of two cells is accepted")
 	}
 }
 
-// readBeat reads a heartbeat as the controllers do.
+// readBeat decodes and validates a heartbeat as the controllers do.
 func readBeat(server string, body []byte) (heartbeat.Beat, error) {
 	var read Heartbeat
 	if err := json.Unmarshal(body, &read); err != nil {
@@ -93,18 +95,18 @@
 	return read.Beat(server)
 }
 
-const soundBeat = `{"service":"s","address":"10.0.0.1:80","zone":"z","slots":4,"state":"ready","warm_up_left_ms":0,"sequence":4,"born":1796000000000}`
+const validHeartbeat = `{"service":"s","address":"10.0.0.1:80","zone":"z","slots":4,"state":"ready","warm_up_left_ms":0,"sequence":4,"born":1796000000000}`
 
-// TestHeartbeatsOfOtherWriters: a heartbeat with fields that are missing or of another type, a
-// state that is not known, or bytes that cannot be read, names no server.
+// TestHeartbeatsOfOtherWriters checks that a heartbeat with missing fields, fields of a wrong type,
+// an unknown state or undecodable bytes is rejected.
 func TestHeartbeatsOfOtherWriters(t *testing.T) {
-	sound, err := readBeat("i-1", []byte(soundBeat))
-	if err != nil || sound.Instance != "i-1@1796000000000" {
-		t.Fatalf("%+v, %v", sound, err)
+	beat, err := readBeat("i-1", []byte(validHeartbeat))
+	if err != nil || beat.Instance != "i-1@1796000000000" {
+		t.Fatalf("%+v, %v", beat, err)
 	}
-	replaced := func(old, fresh string) string { return strings.Replace(soundBeat, old, fresh, 1) }
+	replaced := func(old, replacement string) string { return strings.Replace(validHeartbeat, old, replacement, 1) }
 	for _, body := range []string{
-		"", "{", "null", "[]", "7", "\x00\xff", soundBeat[:40],
+		"", "{", "null", "[]", "7", "\x00\xff", validHeartbeat[:40],
 		replaced(`"service":"s",`, ""), replaced(`"s"`, "7"), replaced(`"s"`, "null"), replaced(`"address":"10.0.0.1:80",`, ""),
 		replaced("10.0.0.1:80", "10.0.0.1"), replaced("10.0.0.1:80", "name:80"), replaced("10.0.0.1:80", "10.0.0.1:0"),
 		replaced(`"zone":"z",`, ""), replaced(`"slots":4`, `"slots":"4"`), replaced(`"slots":4`, `"slots":-4`), replaced(`"slots":4,`, ""),
@@ -116,17 +118,18 @@
 		replaced(`"sequence"`, `"holdings":[[1,"2",3]],"sequence"`), replaced(`"sequence"`, `"released":[[1,2,3]],"sequence"`),
 	} {
 		if beat, err := readBeat("i-1", []byte(body)); err == nil {
-			t.Errorf("%s names %+v", body, beat)
+			t.Errorf("%s is accepted as %+v", body, beat)
 		}
 	}
 	for _, server := range []string{"", "i-1@5"} {
-		if _, err := readBeat(server, []byte(soundBeat)); err == nil {
-			t.Errorf("server %q is taken", server)
+		if _, err := readBeat(server, []byte(validHeartbeat)); err == nil {
+			t.Errorf("server %q is accepted", server)
 		}
 	}
 }
 
-// TestLeaveTellsItsLife: the body may be empty; one that cannot be read takes nobody out.
+// TestLeaveTellsItsLife checks that the body may be empty or have a start time, and that an invalid
+// body is rejected, so that no server is removed by it.
 func TestLeaveTellsItsLife(t *testing.T) {
 	for body, want := range map[string]StartTime{"": 0, "{}": 0, `{"born":17}`: 17} {
 		if got, err := ReadLeave([]byte(body)); err != nil || got.Born != want {
@@ -135,14 +138,14 @@
 	}
 	for _, body := range []string{"{", "7", `{"born":-1}`, `{"born":"x"}`, `{"born":1.5}`} {
 		if got, err := ReadLeave([]byte(body)); err == nil {
-			t.Errorf("%q is read as %+v", body, got)
+			t.Errorf("%q is accepted as %+v", body, got)
 		}
 	}
 }
 
-// FuzzHeartbeat: whatever comes is refused, or names a server that can be used.
+// FuzzHeartbeat checks that any input either is rejected or yields a valid heartbeat of the server.
 func FuzzHeartbeat(f *testing.F) {
-	f.Add("i-1", []byte(soundBeat))
+	f.Add("i-1", []byte(validHeartbeat))
 	f.Add("i-1", []byte(`{"service":"s","address":"[::1]:80","zone":"z","slots":1,"state":"draining","sequence":1,"holdings":[[0,4095,7]],"released":[[4096,8191,"5c0e"]]}`))
 	f.Fuzz(func(t *testing.T, server string, body []byte) {
 		beat, err := readBeat(server, body)
@@ -150,10 +153,10 @@
 			return
 		}
 		if beat.Service == "" || beat.Zone == "" || beat.Slots < 1 || beat.Sequence == 0 || beat.WarmUp < 0 || beat.WarmUp > time.Minute {
-			t.Errorf("%s is taken as %+v", body, beat)
+			t.Errorf("%s is accepted as %+v", body, beat)
 		}
 		if got := beat.Instance.Server(); got != server {
-			t.Errorf("server %q is taken as %q", server, got)
+			t.Errorf("server %q is decoded as %q", server, got)
 		}
 	})
 }
