--- a/internal/directory/incarnation.go
+++ b/internal/directory/incarnation.go
@@ -51,8 +51,8 @@
 	return server != "" && !strings.Contains(server, incarnationSeparator)
 }
 
-// Lives returns the known incarnations of a server, including those that are gone.
-func (d *Directory) Lives(server string) []Instance {
+// Incarnations returns the known incarnations of a server, including those that are gone.
+func (d *Directory) Incarnations(server string) []Instance {
 	var incarnations []Instance
 	for _, id := range d.byServer[server] {
 		incarnations = append(incarnations, *d.instances[id])
@@ -64,7 +64,7 @@
 // that they have ended.
 func (d *Directory) endEarlierIncarnations(revision Revision, newer Instance) {
 	newest := newer.ID.Incarnation()
-	for _, earlier := range d.Lives(newest.Server) {
+	for _, earlier := range d.Incarnations(newest.Server) {
 		if earlier.Ended || earlier.ID.Incarnation().Born >= newest.Born {
 			continue
 		}
--- a/internal/directory/incarnation_test.go
+++ b/internal/directory/incarnation_test.go
@@ -51,7 +51,7 @@
 	if got, _ := state("a@20"); got != InstanceReady {
 		t.Errorf("the newest incarnation is %s after an earlier one was announced", got)
 	}
-	if lives := view.Lives("a"); len(lives) != 4 {
+	if lives := view.Incarnations("a"); len(lives) != 4 {
 		t.Errorf("%d incarnations", len(lives))
 	}
 }
--- a/internal/heartbeat/batch.go
+++ b/internal/heartbeat/batch.go
@@ -195,7 +195,7 @@
 // may refer to: the newest one known, and those that wait for their second heartbeat.
 func (b *Batch) leavingIncarnations(server string) []directory.Incarnation {
 	newest := directory.Incarnation{Server: server}
-	for _, instance := range b.view.Lives(server) {
+	for _, instance := range b.view.Incarnations(server) {
 		newest.Born = max(newest.Born, instance.ID.Incarnation().Born)
 	}
 	incarnations := []directory.Incarnation{newest}
--- a/internal/heartbeat/life.go
+++ b/internal/heartbeat/life.go
@@ -16,7 +16,7 @@
 // sending heartbeats.
 func (c *Core) checkIncarnation(now time.Duration, beat Beat, view *directory.Directory) error {
 	incarnation := beat.Instance.Incarnation()
-	for _, other := range view.Lives(incarnation.Server) {
+	for _, other := range view.Incarnations(incarnation.Server) {
 		otherBorn := other.ID.Incarnation().Born
 		if otherBorn <= incarnation.Born {
 			continue
--- a/internal/heartbeat/life_test.go
+++ b/internal/heartbeat/life_test.go
@@ -169,7 +169,7 @@
 	if err := l.beat(5*time.Second, "b", 200, 2); err != nil {
 		t.Fatalf("late heartbeat: %v", err)
 	}
-	for _, instance := range l.view.Lives("b") {
+	for _, instance := range l.view.Incarnations("b") {
 		if instance.State != directory.InstanceGone {
 			t.Errorf("%s is %s after a late heartbeat of a server that left", instance.ID, instance.State)
 		}
