--- a/internal/directory/changelog_test.go
+++ b/internal/directory/changelog_test.go
@@ -26,7 +26,7 @@
 		change(origin)
 	}
 	restored, streamed := New(), New()
-	restored.Take(origin.Since(0))
+	restored.Merge(origin.Since(0))
 	if err := streamed.TakeRouting(origin.RoutingSince(0)); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -237,9 +237,9 @@
 	return changed
 }
 
-// Take merges changes into the directory. Objects that are not newer than the current ones are
+// Merge merges changes into the directory. Objects that are not newer than the current ones are
 // ignored, so that the same changes may arrive twice.
-func (d *Directory) Take(changes Content) {
+func (d *Directory) Merge(changes Content) {
 	for _, item := range changes.Items {
 		if current, found := d.items[item.Key]; !found || item.Revision > current.Revision {
 			d.putItem(item)
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -164,8 +164,8 @@
 		if err := codec.Unmarshal(encoded, &changes); err != nil {
 			t.Fatal(err)
 		}
-		copied.Take(changes)
-		copied.Take(changes)
+		copied.Merge(changes)
+		copied.Merge(changes)
 	}
 	take()
 	steps := []Command{
--- a/internal/directory/incarnation_test.go
+++ b/internal/directory/incarnation_test.go
@@ -41,7 +41,7 @@
 		t.Errorf("the incarnation without a start time is %s, ended %v", got, ended)
 	}
 	restored := New()
-	restored.Take(view.Since(0))
+	restored.Merge(view.Since(0))
 	view = restored
 	announce(3, "a@20", "127.0.0.1:3")
 	if got, ended := state("a@10"); got != InstanceGone || !ended {
--- a/internal/directory/routingchanges.go
+++ b/internal/directory/routingchanges.go
@@ -87,7 +87,7 @@
 	if changes.To <= d.revision {
 		return nil
 	}
-	d.Take(Content{
+	d.Merge(Content{
 		From: changes.From, To: changes.To, Items: changes.Items, Instances: changes.Instances,
 		Zones: changes.Zones, Fleet: changes.Fleet, Throttles: changes.Throttles,
 		Suspects: changes.Suspects,
--- a/internal/directory/suspect_test.go
+++ b/internal/directory/suspect_test.go
@@ -66,7 +66,7 @@
 			t.Fatal(err)
 		}
 		restored := New()
-		restored.Take(decoded)
+		restored.Merge(decoded)
 		suspect, found := restored.Suspect(5)
 		if restored.Revision() != 5 || found != (name == "this version") || found && !suspect.Same(d.Suspects().List[0]) {
 			t.Errorf("%s: revision %d, suspect %+v, found %t", name, restored.Revision(), suspect, found)
--- a/internal/directory/zone_test.go
+++ b/internal/directory/zone_test.go
@@ -33,7 +33,7 @@
 		}
 	}
 	restored := New()
-	restored.Take(d.Since(0))
+	restored.Merge(d.Since(0))
 	if !restored.Evacuated("west") || !restored.Evacuated("east") || restored.Evacuated("north") {
 		t.Errorf("restored zones %+v", restored.Zones())
 	}
@@ -42,7 +42,7 @@
 	if !clone.Evacuated("east") {
 		t.Error("a clone changed")
 	}
-	restored.Take(d.Since(restored.Revision()))
+	restored.Merge(d.Since(restored.Revision()))
 	if restored.Evacuated("east") {
 		t.Error("Since omits the change")
 	}
@@ -72,7 +72,7 @@
 		t.Fatal(err)
 	}
 	other := New()
-	other.Take(d.Since(0))
+	other.Merge(d.Since(0))
 	if other.Gateways() != 79 {
 		t.Errorf("%d gateways", other.Gateways())
 	}
--- a/internal/state/snapshot.go
+++ b/internal/state/snapshot.go
@@ -181,7 +181,7 @@
 		restored.receipts.add(receipt)
 	}
 	restored.receipts.forgotten = decoded.Forgotten
-	restored.directory.Take(decoded.Directory)
+	restored.directory.Merge(decoded.Directory)
 	clear(restored.versions)
 	for _, version := range decoded.Versions {
 		restored.versions[version.Server] = version.Version
