--- a/internal/directory/changelog_test.go
+++ b/internal/directory/changelog_test.go
@@ -27,7 +27,7 @@
 	}
 	restored, streamed := New(), New()
 	restored.Merge(origin.Since(0))
-	if err := streamed.TakeRouting(origin.RoutingSince(0)); err != nil {
+	if err := streamed.MergeRouting(origin.RoutingSince(0)); err != nil {
 		t.Fatal(err)
 	}
 	for range 10 {
--- a/internal/directory/routingchanges.go
+++ b/internal/directory/routingchanges.go
@@ -78,9 +78,9 @@
 	return changed
 }
 
-// TakeRouting merges changes into the directory of a gateway. After an error the whole directory
+// MergeRouting merges changes into the directory of a gateway. After an error the whole directory
 // must be fetched again.
-func (d *Directory) TakeRouting(changes RoutingChanges) error {
+func (d *Directory) MergeRouting(changes RoutingChanges) error {
 	if changes.From > d.revision {
 		return errRevisionGap
 	}
--- a/internal/directory/routingchanges_test.go
+++ b/internal/directory/routingchanges_test.go
@@ -112,12 +112,12 @@
 			for range 1 + m.random.IntN(40) {
 				m.step()
 			}
-			if err := first.TakeRouting(m.view.RoutingSince(first.Revision())); err != nil {
+			if err := first.MergeRouting(m.view.RoutingSince(first.Revision())); err != nil {
 				t.Fatal(err)
 			}
 			requireSameRouting(t, m.view, first)
 			if m.random.IntN(3) == 0 {
-				if err := second.TakeRouting(first.RoutingSince(second.Revision())); err != nil {
+				if err := second.MergeRouting(first.RoutingSince(second.Revision())); err != nil {
 					t.Fatal(err)
 				}
 				requireSameRouting(t, m.view, second)
@@ -162,21 +162,21 @@
 func TestChangesAfterAGapAreRefused(t *testing.T) {
 	m := newMoveSimulation(t, 1, 10, 100)
 	gateway := New()
-	if err := gateway.TakeRouting(m.view.RoutingSince(0)); err != nil {
+	if err := gateway.MergeRouting(m.view.RoutingSince(0)); err != nil {
 		t.Fatal(err)
 	}
 	before := m.revision
 	m.step()
 	missed := m.revision
 	m.step()
-	if gateway.TakeRouting(m.view.RoutingSince(missed)) == nil {
+	if gateway.MergeRouting(m.view.RoutingSince(missed)) == nil {
 		t.Error("changes after a gap were accepted")
 	}
 	m.apply(Command{Instances: []Instance{{ID: "new", Service: "s", Address: "10.9.9.9:80", State: InstanceReady}}})
 	m.putHoldings(Holding{Last: MaxKey, Fence: 99, Owner: "new", Granted: true})
 	changes := m.view.RoutingSince(before)
 	changes.Instances = nil
-	if gateway.TakeRouting(changes) == nil {
+	if gateway.MergeRouting(changes) == nil {
 		t.Error("keys of an unknown instance were accepted")
 	}
 	whole := m.view.RoutingSince(0)
@@ -214,7 +214,7 @@
 		b.Run(fmt.Sprintf("instances=%d", instances), func(b *testing.B) {
 			m := newMoveSimulation(&testing.T{}, 1, instances, ranges)
 			gateway := New()
-			if err := gateway.TakeRouting(m.view.RoutingSince(0)); err != nil {
+			if err := gateway.MergeRouting(m.view.RoutingSince(0)); err != nil {
 				b.Fatal(err)
 			}
 			bytes, steps := 0, 0
@@ -230,7 +230,7 @@
 					b.Fatal(err)
 				}
 				bytes, steps = bytes+len(encoded), steps+gathered
-				if err := gateway.TakeRouting(changes); err != nil {
+				if err := gateway.MergeRouting(changes); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/directory/suspect_test.go
+++ b/internal/directory/suspect_test.go
@@ -23,7 +23,7 @@
 		if err := codec.Unmarshal(encoded, &changes); err != nil {
 			t.Fatal(err)
 		}
-		if err := gateway.TakeRouting(changes); err != nil {
+		if err := gateway.MergeRouting(changes); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/directory/tenant_test.go
+++ b/internal/directory/tenant_test.go
@@ -87,7 +87,7 @@
 			t.Errorf("hop %d: hashes %v", hop, hashes)
 		}
 		next := New()
-		if err := next.TakeRouting(changes); err != nil {
+		if err := next.MergeRouting(changes); err != nil {
 			t.Fatal(err)
 		}
 		view = next
@@ -114,7 +114,7 @@
 			return
 		}
 		gateway := New()
-		if err := gateway.TakeRouting(view.RoutingSince(0)); err != nil {
+		if err := gateway.MergeRouting(view.RoutingSince(0)); err != nil {
 			t.Error(err)
 		}
 		if got, want := len(gateway.Items()), len(view.Items()); got != want {
--- a/internal/gateway/subscription.go
+++ b/internal/gateway/subscription.go
@@ -290,7 +290,7 @@
 		s.view = directory.New()
 		earlier = nil
 	}
-	if err := s.view.TakeRouting(*update.Changes); err != nil {
+	if err := s.view.MergeRouting(*update.Changes); err != nil {
 		s.cluster = ""
 		return err
 	}
