--- a/internal/controller/heartbeat_batches.go
+++ b/internal/controller/heartbeat_batches.go
@@ -100,7 +100,7 @@
 	var failure error
 	defer func() { k.replica.load.batch(len(decisions), took, k.replica.clock.Now()-began) }()
 	if len(batch.commands) > 0 {
-		joined := directory.Joined(batch.commands)
+		joined := directory.JoinCommands(batch.commands)
 		failure = k.propose(ctx, batch.leadership, state.Command{Directory: &joined})
 	}
 	for index, made := range decisions {
--- a/internal/controller/news_test.go
+++ b/internal/controller/news_test.go
@@ -29,7 +29,7 @@
 		"revoked":         {layout(directory.Holding{Owner: "b", Revoked: true}), []directory.InstanceID{"b"}},
 		"free":            {layout(directory.Holding{}), nil},
 		"state":           {directory.Command{Instances: []directory.Instance{{ID: "c"}}}, []directory.InstanceID{"c"}},
-		"of a batch":      {directory.Joined([]directory.Command{layout(directory.Holding{Owner: "a"}), {Instances: []directory.Instance{{ID: "c"}}}}), []directory.InstanceID{"a", "c"}},
+		"of a batch":      {directory.JoinCommands([]directory.Command{layout(directory.Holding{Owner: "a"}), {Instances: []directory.Instance{{ID: "c"}}}}), []directory.InstanceID{"a", "c"}},
 		"a configuration": {directory.Command{Patch: &directory.Patch{}}, []directory.InstanceID{"a", "b", "c"}},
 	}
 	for name, c := range cases {
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -80,8 +80,8 @@
 	Batch []Command `msgpack:"b,omitempty"`
 }
 
-// Joined combines commands into one. A single command is returned unchanged.
-func Joined(commands []Command) Command {
+// JoinCommands combines commands into one. A single command is returned unchanged.
+func JoinCommands(commands []Command) Command {
 	if len(commands) == 1 {
 		return commands[0]
 	}
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -288,13 +288,13 @@
 	stale := Command{Layout: &PutLayout{Service: "s", After: 7, Changed: []Holding{{First: 0, Last: MaxKey, Fence: 1, Owner: "a"}}}}
 	first := Command{Instances: []Instance{{ID: "a", Service: "s", Address: "1", State: InstanceReady}}}
 	last := Command{Instances: []Instance{{ID: "b", Service: "s", Address: "2", State: InstanceReady}}}
-	if err := d.Apply(3, Joined([]Command{first, stale, last})); !fault.Is(err, fault.Conflict) {
+	if err := d.Apply(3, JoinCommands([]Command{first, stale, last})); !fault.Is(err, fault.Conflict) {
 		t.Errorf("a stale layout in a batch: %v", err)
 	}
 	if len(d.Instances()) != 2 || d.Revision() != 3 || len(d.Layout("s").Holdings) != 0 {
 		t.Errorf("instances %+v at revision %d", d.Instances(), d.Revision())
 	}
-	if single := Joined([]Command{first}); single.Batch != nil {
+	if single := JoinCommands([]Command{first}); single.Batch != nil {
 		t.Error("a single command is wrapped")
 	}
 }
--- a/internal/heartbeat/batch_test.go
+++ b/internal/heartbeat/batch_test.go
@@ -25,7 +25,7 @@
 			t.Errorf("outdated heartbeat in a batch: error %v, want kind conflict", err)
 		}
 		commands := batch.Commands()
-		s.apply(directory.Joined(commands))
+		s.apply(directory.JoinCommands(commands))
 		return commands
 	}
 	if commands := receiveAll(); len(commands) != 1 || len(commands[0].Instances) != len(ids) {
--- a/internal/lab/sim/lease_keeper.go
+++ b/internal/lab/sim/lease_keeper.go
@@ -130,7 +130,7 @@
 	}
 	leadership := k.leadership
 	k.deciding = true
-	joined := directory.Joined(commands)
+	joined := directory.JoinCommands(commands)
 	k.replica.driver.Propose(driver.Proposal{
 		Command:    state.Command{Directory: &joined},
 		StillValid: func() bool { return k.leads(leadership) },
