--- a/internal/controller/forwarding.go
+++ b/internal/controller/forwarding.go
@@ -124,7 +124,7 @@
 // are sent to the leader, which is one way less.
 func (a *api) spreads() bool {
 	living := 0
-	a.replica.view(func(view *state.State) { living = view.Directory().Living() })
+	a.replica.view(func(view *state.State) { living = view.Directory().LiveInstances() })
 	return float64(living) > leaderShare*float64(a.settings.MaxConnections)
 }
 
--- a/internal/directory/instance.go
+++ b/internal/directory/instance.go
@@ -208,8 +208,8 @@
 	}
 }
 
-// Living returns the number of instances that are not gone.
-func (d *Directory) Living() int { return len(d.instances) - d.goneCount }
+// LiveInstances returns the number of instances that are not gone.
+func (d *Directory) LiveInstances() int { return len(d.instances) - d.goneCount }
 
 // Instance returns an instance, including one that is gone.
 func (d *Directory) Instance(id InstanceID) (Instance, bool) {
