--- a/internal/directory/instance.go
+++ b/internal/directory/instance.go
@@ -239,9 +239,11 @@
 	return instance, found
 }
 
-// EachFound yields pointers to all instances, sorted by identifier, under the same conditions as
+// EachInstancePointer yields pointers to all instances, sorted by identifier, under the same conditions as
 // Find.
-func (d *Directory) EachFound() iter.Seq[*Instance] { return slices.Values(d.sortedInstances) }
+func (d *Directory) EachInstancePointer() iter.Seq[*Instance] {
+	return slices.Values(d.sortedInstances)
+}
 
 // EachInstance yields all instances, sorted by identifier, including those that are gone. Instances
 // may be modified during the iteration, but not added.
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -98,7 +98,7 @@
 		}
 	}
 	t.Whole = true
-	for instance := range view.EachFound() {
+	for instance := range view.EachInstancePointer() {
 		t.Changed = append(t.Changed, instance)
 		if service, found := t.services[instance.Service]; found && instance.State != directory.InstanceGone {
 			service.Instances = append(service.Instances, instance)
