--- a/internal/controller/forwarding.go
+++ b/internal/controller/forwarding.go
@@ -124,7 +124,7 @@
 // smaller number is redirected to the leader, which saves one hop.
 func (a *api) spreadsHeartbeats() bool {
 	instances := 0
-	a.replica.view(func(view *state.State) { instances = view.Directory().Living() })
+	a.replica.view(func(view *state.State) { instances = view.Directory().LiveInstances() })
 	return float64(instances) > leaderConnectionShare*float64(a.settings.MaxConnections)
 }
 
--- a/internal/controller/heartbeat_batches.go
+++ b/internal/controller/heartbeat_batches.go
@@ -101,7 +101,7 @@
 	var failure error
 	defer func() { m.replica.load.batch(len(decisions), decideTime, m.replica.clock.Now()-startedAt) }()
 	if len(batch.commands) > 0 {
-		joined := directory.Joined(batch.commands)
+		joined := directory.JoinCommands(batch.commands)
 		failure = m.propose(ctx, batch.leadership, state.Command{Directory: &joined})
 	}
 	for index, queued := range decisions {
--- a/internal/directory/suspect_test.go
+++ b/internal/directory/suspect_test.go
@@ -6,8 +6,8 @@
 	"github.com/thorntiller/thorntiller/internal/codec"
 )
 
-// TestSuspectsReachGateways: as a whole list, without what they need not know, and once; those that
-// are dropped go.
+// TestSuspectsReachGateways checks that gateways get the complete list once, without the fields
+// that they do not need, and that suspects that were dropped disappear there.
 func TestSuspectsReachGateways(t *testing.T) {
 	controllers, gateway := New(), New()
 	put := func(revision, follows Revision, suspects ...Suspect) {
@@ -23,7 +23,7 @@
 		if err := codec.Unmarshal(encoded, &changes); err != nil {
 			t.Fatal(err)
 		}
-		if err := gateway.TakeRouting(changes); err != nil {
+		if err := gateway.MergeRouting(changes); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -45,7 +45,8 @@
 	}
 }
 
-// TestSuspectsOutlastSnapshots: and a directory of a version that knew of none can be read.
+// TestSuspectsOutlastSnapshots also checks that a snapshot of an earlier version, without suspects,
+// can be read.
 func TestSuspectsOutlastSnapshots(t *testing.T) {
 	d := New()
 	if err := d.Apply(5, Command{Suspects: &PutSuspects{List: []Suspect{{Fingerprint: 5, Crashes: []InstanceID{"a"}, Quarantined: true}}}}); err != nil {
@@ -65,7 +66,7 @@
 			t.Fatal(err)
 		}
 		restored := New()
-		restored.Take(decoded)
+		restored.Merge(decoded)
 		suspect, found := restored.Suspect(5)
 		if restored.Revision() != 5 || found != (name == "this version") || found && !suspect.Same(d.Suspects().List[0]) {
 			t.Errorf("%s: revision %d, suspect %+v, found %t", name, restored.Revision(), suspect, found)
@@ -73,7 +74,8 @@
 	}
 }
 
-// TestReleaseIsApplied: once, and only to a request in quarantine.
+// TestReleaseIsApplied checks that a release takes effect once, and only for a request in
+// quarantine.
 func TestReleaseIsApplied(t *testing.T) {
 	d := New()
 	if err := d.Apply(5, Command{Suspects: &PutSuspects{List: []Suspect{{Fingerprint: 5, Quarantined: true, TrialBy: "g"}, {Fingerprint: 6}}}}); err != nil {
