--- a/internal/wire/address.go
+++ b/internal/wire/address.go
@@ -1,7 +1,7 @@
 package wire
 
-// SharedNetwork counts the leading parts of numbers that two addresses share, two at most:
-// machines of one place usually have numbers of one network.
+// SharedNetwork returns how many leading dot-separated parts two IPv4 addresses have in
+// common, at most two. Machines in one location usually have addresses in one network.
 func SharedNetwork(a, b string) int {
 	const parts = 2
 	shared, dots := 0, 0
--- a/internal/wire/address_test.go
+++ b/internal/wire/address_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// TestSharedNetwork counts whole parts, from the front, two at most.
+// TestSharedNetwork checks that only whole leading parts count, at most two.
 func TestSharedNetwork(t *testing.T) {
 	for _, c := range []struct {
 		a, b string
--- a/internal/wire/call.go
+++ b/internal/wire/call.go
@@ -10,23 +10,23 @@
 	"github.com/thorntiller/thorntiller/internal/codec"
 )
 
-// callFrame carries a request or its answer; both have the same number.
+// callFrame carries a request or its answer; both carry the same call number.
 type callFrame struct {
 	Number  uint64
 	Content msgpack.RawMessage
 }
 
 // ServeCalls answers requests of type Q with answers of type A until the
-// connection ends, with at most limit calls at the same time; further requests
-// wait in the connection. It returns once every handler has returned. Handlers
-// get a context that ends with the connection.
+// connection ends. At most limit calls run at a time; further requests stay
+// unread in the connection. It returns once every handler has returned. The
+// context passed to the handlers is cancelled when the connection ends.
 func ServeCalls[Q, A any](ctx context.Context, connection *Conn, limit int, handle func(context.Context, *Q) *A) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var running conc.WaitGroup
 	defer running.Wait()
 	defer cancel()
-	places := make(chan struct{}, limit)
+	slots := make(chan struct{}, limit)
 	for {
 		var frame callFrame
 		if err := connection.Receive(&frame); err != nil {
@@ -37,12 +37,12 @@
 			return eris.Wrapf(err, "decode %T", request)
 		}
 		select {
-		case places <- struct{}{}:
+		case slots <- struct{}{}:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 		running.Go(func() {
-			defer func() { <-places }()
+			defer func() { <-slots }()
 			// A failed send closes the connection, which ends the loop above.
 			_ = sendCall(ctx, connection, frame.Number, handle(ctx, request))
 		})
@@ -52,7 +52,7 @@
 func sendCall(ctx context.Context, connection *Conn, number uint64, content any) error {
 	encoded, err := codec.Marshal(content)
 	if err != nil {
-		return because(ErrNotSent, eris.Wrapf(err, "encode %T", content))
+		return newCallError(ErrNotSent, eris.Wrapf(err, "encode %T", content))
 	}
 	return connection.Send(ctx, &callFrame{Number: number, Content: encoded})
 }
--- a/internal/wire/client.go
+++ b/internal/wire/client.go
@@ -14,34 +14,36 @@
 	"github.com/thorntiller/thorntiller/internal/message"
 )
 
-// maxPendingCalls bounds the calls of one client that wait for answers.
+// maxPendingCalls bounds the unanswered calls of one client connection.
 const maxPendingCalls = 4096
 
-// silentCall is how long a call must have waited on a connection that brought
-// nothing meanwhile for the connection to be given up: after a cut, a new one
-// stands sooner than the old one recovers.
-const silentCall = 200 * time.Millisecond
+// unresponsiveTimeout is how long a call must have waited, on a connection that
+// received nothing in that time, for the connection to be closed when the call's
+// context ends: after a network cut, a new connection is established sooner than
+// the old one recovers.
+const unresponsiveTimeout = 200 * time.Millisecond
 
-// errTooManyCalls refuses a call before it is sent.
+// errTooManyCalls rejects a call before it is sent.
 var errTooManyCalls = errors.New("too many calls wait for answers")
 
-// Client makes calls to one address, many at the same time on one connection,
-// which is opened when needed. It is safe for concurrent use.
+// Client makes calls to one address, multiplexed on one connection that is
+// opened on demand. It is safe for concurrent use.
 type Client struct {
 	address string
 	hello   message.Hello
 	options Options
 
-	mutex  sync.Mutex
-	live   *clientConnection
-	closed bool
-	// dialing is closed when the present attempt to connect ends.
+	mutex   sync.Mutex
+	current *clientConnection
+	closed  bool
+	// dialing is closed when the current connection attempt ends; it is nil
+	// while there is none.
 	dialing chan struct{}
 	readers conc.WaitGroup
 }
 
-// NewClient returns a client; nothing is sent before the first call. Hello is
-// sent first on each connection.
+// NewClient returns a client that connects on the first call and sends hello
+// first on each connection.
 func NewClient(address string, hello message.Hello, options Options) *Client {
 	return &Client{address: address, hello: hello, options: options}
 }
@@ -49,29 +51,29 @@
 // Address returns the address that the client calls.
 func (c *Client) Address() string { return c.address }
 
-// Call sends a request and decodes the answer into a pointer. Its errors are of
-// the kinds ErrNotSent, ErrConnectionLost and ErrNoAnswer.
+// Call sends a request and decodes the answer into answer, a pointer. Its errors
+// match ErrNotSent, ErrConnectionLost or ErrNoAnswer.
 func (c *Client) Call(ctx context.Context, request, answer any) error {
 	connection, err := c.connection(ctx)
 	if err != nil {
-		return because(ErrNotSent, err)
+		return newCallError(ErrNotSent, err)
 	}
 	return connection.call(ctx, request, answer)
 }
 
-// Close ends the connection and all calls.
+// Close closes the connection, fails all pending calls and rejects further ones.
 func (c *Client) Close() {
 	c.mutex.Lock()
 	c.closed = true
-	live := c.live
+	current := c.current
 	c.mutex.Unlock()
-	if live != nil {
-		live.stream.Close()
+	if current != nil {
+		current.stream.Close()
 	}
 	c.readers.Wait()
 }
 
-// connection returns the open connection, or opens one; concurrent callers wait
+// connection returns the open connection or opens one; concurrent callers wait
 // for the same attempt.
 func (c *Client) connection(ctx context.Context) (*clientConnection, error) {
 	for {
@@ -80,27 +82,27 @@
 			c.mutex.Unlock()
 			return nil, ErrClosed
 		}
-		if c.live != nil && !c.live.stream.closed.Load() {
-			live := c.live
+		if c.current != nil && !c.current.stream.closed.Load() {
+			current := c.current
 			c.mutex.Unlock()
-			return live, nil
+			return current, nil
 		}
-		waitFor := c.dialing
-		if waitFor == nil {
+		dialing := c.dialing
+		if dialing == nil {
 			c.dialing = make(chan struct{})
 			c.mutex.Unlock()
 			return c.open(ctx)
 		}
 		c.mutex.Unlock()
 		select {
-		case <-waitFor:
+		case <-dialing:
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
 	}
 }
 
-// open makes a new connection and lets those who wait look again.
+// open opens a connection and wakes the callers that wait for the attempt.
 func (c *Client) open(ctx context.Context) (*clientConnection, error) {
 	opened, err := c.dial(ctx)
 	c.mutex.Lock()
@@ -114,7 +116,7 @@
 		opened.stream.Close()
 		return nil, ErrClosed
 	}
-	c.live = opened
+	c.current = opened
 	c.readers.Go(opened.receive)
 	return opened, nil
 }
@@ -128,68 +130,68 @@
 		stream.Close()
 		return nil, err
 	}
-	return &clientConnection{stream: stream, waiting: make(map[uint64]chan msgpack.RawMessage)}, nil
+	return &clientConnection{stream: stream, pending: make(map[uint64]chan msgpack.RawMessage)}, nil
 }
 
-// clientConnection matches the answers of one connection to its calls.
+// clientConnection matches the answers received on one connection to its calls.
 type clientConnection struct {
 	stream *Conn
 
-	mutex   sync.Mutex
-	number  uint64
-	ended   bool
-	waiting map[uint64]chan msgpack.RawMessage
+	mutex      sync.Mutex
+	lastNumber uint64
+	ended      bool
+	pending    map[uint64]chan msgpack.RawMessage
 }
 
 func (c *clientConnection) call(ctx context.Context, request, answer any) error {
-	number, arrival, err := c.begin()
+	number, result, err := c.register()
 	if err != nil {
-		return because(ErrNotSent, err)
+		return newCallError(ErrNotSent, err)
 	}
-	defer c.forget(number)
+	defer c.unregister(number)
 	began, received := time.Now(), c.stream.BytesReceived()
 	if err := sendCall(ctx, c.stream, number, request); err != nil {
 		return err
 	}
 	select {
-	case content, whole := <-arrival:
-		if !whole {
-			return because(ErrConnectionLost, ErrClosed)
+	case content, open := <-result:
+		if !open {
+			return newCallError(ErrConnectionLost, ErrClosed)
 		}
 		if err := codec.Unmarshal(content, answer); err != nil {
-			return because(ErrNoAnswer, eris.Wrapf(err, "decode %T", answer))
+			return newCallError(ErrNoAnswer, eris.Wrapf(err, "decode %T", answer))
 		}
 		return nil
 	case <-ctx.Done():
-		if time.Since(began) >= silentCall && c.stream.BytesReceived() == received {
+		if time.Since(began) >= unresponsiveTimeout && c.stream.BytesReceived() == received {
 			c.stream.Close()
 		}
-		return because(ErrNoAnswer, ctx.Err())
+		return newCallError(ErrNoAnswer, ctx.Err())
 	}
 }
 
-func (c *clientConnection) begin() (uint64, chan msgpack.RawMessage, error) {
+func (c *clientConnection) register() (uint64, chan msgpack.RawMessage, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.ended {
 		return 0, nil, ErrClosed
 	}
-	if len(c.waiting) >= maxPendingCalls {
+	if len(c.pending) >= maxPendingCalls {
 		return 0, nil, errTooManyCalls
 	}
-	c.number++
-	arrival := make(chan msgpack.RawMessage, 1)
-	c.waiting[c.number] = arrival
-	return c.number, arrival, nil
+	c.lastNumber++
+	result := make(chan msgpack.RawMessage, 1)
+	c.pending[c.lastNumber] = result
+	return c.lastNumber, result, nil
 }
 
-func (c *clientConnection) forget(number uint64) {
+func (c *clientConnection) unregister(number uint64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	delete(c.waiting, number)
+	delete(c.pending, number)
 }
 
-// receive hands out answers until the connection ends, and then ends all calls.
+// receive delivers answers until the connection ends, and then fails all pending calls.
 func (c *clientConnection) receive() {
 	for {
 		var frame callFrame
@@ -198,11 +200,11 @@
 			return
 		}
 		c.mutex.Lock()
-		arrival, found := c.waiting[frame.Number]
-		delete(c.waiting, frame.Number)
+		result, found := c.pending[frame.Number]
+		delete(c.pending, frame.Number)
 		c.mutex.Unlock()
 		if found {
-			arrival <- frame.Content
+			result <- frame.Content
 		}
 	}
 }
@@ -211,8 +213,8 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.ended = true
-	for number, arrival := range c.waiting {
-		delete(c.waiting, number)
-		close(arrival)
+	for number, result := range c.pending {
+		delete(c.pending, number)
+		close(result)
 	}
 }
--- a/internal/wire/client_test.go
+++ b/internal/wire/client_test.go
@@ -10,8 +10,9 @@
 	"github.com/thorntiller/thorntiller/internal/message"
 )
 
-// TestSilentConnectionIsReplaced: a connection that was cut in silence is not
-// used for further calls.
+// TestSilentConnectionIsReplaced checks that a connection on which nothing
+// arrives any more is not used for further calls, and that a call shorter than
+// the timeout does not close it.
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	var connections atomic.Int32
 	address, _ := startServer(t, &Server{}, func(ctx context.Context, connection *Conn) {
@@ -22,23 +23,23 @@
 			<-ctx.Done()
 			return
 		}
-		_ = ServeCalls(ctx, connection, 1, func(_ context.Context, request *note) *note { return request })
+		_ = ServeCalls(ctx, connection, 1, func(_ context.Context, request *payload) *payload { return request })
 	})
 	client := NewClient(address, message.Hello{From: "test"}, Options{})
 	t.Cleanup(client.Close)
-	short, cancel := context.WithTimeout(context.Background(), silentCall/2)
+	short, cancel := context.WithTimeout(context.Background(), unresponsiveTimeout/2)
 	defer cancel()
-	if err := client.Call(short, &note{}, &note{}); !errors.Is(err, ErrNoAnswer) {
+	if err := client.Call(short, &payload{}, &payload{}); !errors.Is(err, ErrNoAnswer) {
 		t.Fatalf("short call: %v", err)
 	}
-	long, cancel := context.WithTimeout(context.Background(), 2*silentCall)
+	long, cancel := context.WithTimeout(context.Background(), 2*unresponsiveTimeout)
 	defer cancel()
-	if err := client.Call(long, &note{}, &note{}); !errors.Is(err, ErrNoAnswer) {
-		t.Fatalf("the connection was given up too early: %v", err)
+	if err := client.Call(long, &payload{}, &payload{}); !errors.Is(err, ErrNoAnswer) {
+		t.Fatalf("the connection was closed too early: %v", err)
 	}
-	patient, cancel := context.WithTimeout(context.Background(), 10*time.Second)
+	generous, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	if err := client.Call(patient, &note{}, &note{}); err != nil {
-		t.Errorf("call after the silence: %v", err)
+	if err := client.Call(generous, &payload{}, &payload{}); err != nil {
+		t.Errorf("call on a new connection: %v", err)
 	}
 }
--- a/internal/wire/compression.go
+++ b/internal/wire/compression.go
@@ -10,13 +10,14 @@
 )
 
 const (
-	// compressAbove is the size from which on a frame's content is compressed: long
-	// messages are lists of like objects, and links may be narrow.
-	compressAbove = 4 << 10
-	// compressedFlag in the length of a frame says that its content is compressed.
+	// compressionThreshold is the size in bytes, including the length field, above
+	// which a frame's content is compressed: long messages are lists of similar
+	// objects, and links may have little bandwidth.
+	compressionThreshold = 4 << 10
+	// compressedFlag is the bit of the length field that marks compressed content.
 	compressedFlag = 1 << 31
-	// mostLength is the largest length beside the flag.
-	mostLength = compressedFlag - 1
+	// maxFrameLength is the largest length that fits beside compressedFlag.
+	maxFrameLength = compressedFlag - 1
 )
 
 var (
@@ -27,7 +28,8 @@
 	decompressors = sync.Pool{New: func() any { return flate.NewReader(bytes.NewReader(nil)) }}
 )
 
-// compress replaces what stands behind the length of a frame by its compressed form.
+// compress replaces the content of a frame, which follows its length field, by
+// its compressed form.
 func compress(buffer *bytes.Buffer) error {
 	plain := frameBuffers.Get().(*bytes.Buffer)
 	defer releaseBuffer(plain)
@@ -43,8 +45,8 @@
 	return compressor.Close()
 }
 
-// decompress returns the plain content of a frame in a buffer that the caller
-// releases. The content may have at most a number of bytes.
+// decompress returns the decompressed content of a frame in a buffer that the
+// caller must release. It fails if the content exceeds limit bytes.
 func decompress(compressed []byte, limit int) (*bytes.Buffer, error) {
 	plain := frameBuffers.Get().(*bytes.Buffer)
 	plain.Reset()
--- a/internal/wire/compression_test.go
+++ b/internal/wire/compression_test.go
@@ -11,13 +11,14 @@
 	"github.com/thorntiller/thorntiller/internal/codec"
 )
 
-// TestLongFramesAreCompressed: they arrive as they were, in far fewer bytes.
+// TestLongFramesAreCompressed checks that a long frame arrives unchanged and
+// takes far fewer bytes on the wire.
 func TestLongFramesAreCompressed(t *testing.T) {
-	want := note{Text: strings.Repeat("a holding of keys ", 10_000), Number: 7}
+	want := payload{Text: strings.Repeat("a holding of keys ", 10_000), Number: 7}
 	connection, far := pair(t, Options{})
 	receiver := NewConn(far, Options{})
 	group.Go(func() { _ = connection.Send(context.Background(), &want) })
-	var got note
+	var got payload
 	if err := receiver.Receive(&got); err != nil || got != want {
 		t.Fatalf("received %d bytes of text, %v", len(got.Text), err)
 	}
@@ -26,32 +27,33 @@
 	}
 }
 
-// TestDecompressionIsBounded: a short frame does not grow beyond the limit.
+// TestDecompressionIsBounded checks that a short compressed frame cannot expand
+// beyond the frame limit, and that invalid compressed content is an error.
 func TestDecompressionIsBounded(t *testing.T) {
-	frame, err := Encode(&note{Text: strings.Repeat("a", 1<<20)})
+	frame, err := Encode(&payload{Text: strings.Repeat("a", 1<<20)})
 	if err != nil {
 		t.Fatal(err)
 	}
 	connection, far := pair(t, Options{MaxFrameBytes: 100_000})
 	group.Go(func() { _, _ = far.Write(frame.content) })
-	if err := connection.Receive(&note{}); !errors.Is(err, ErrFrameTooLarge) {
+	if err := connection.Receive(&payload{}); !errors.Is(err, ErrFrameTooLarge) {
 		t.Errorf("got %v", err)
 	}
 	connection, far = pair(t, Options{})
 	var broken [lengthBytes + 3]byte
 	binary.BigEndian.PutUint32(broken[:], compressedFlag|3)
 	group.Go(func() { _, _ = far.Write(broken[:]) })
-	if err := connection.Receive(&note{}); err == nil {
-		t.Error("a content that cannot be decompressed is taken")
+	if err := connection.Receive(&payload{}); err == nil {
+		t.Error("content that cannot be decompressed was accepted")
 	}
 }
 
-// TestFrameOnNarrowLink: one that takes longer than the idle time arrives as long as its
-// bytes keep coming. A gateway behind a narrow link asked for the whole directory
-// again and again, and never had it.
+// TestFrameOnNarrowLink checks that a frame that takes longer than IdleTimeout arrives as
+// long as its bytes keep coming. Otherwise a gateway on a low-bandwidth link requests the
+// whole directory again and again and never receives it.
 func TestFrameOnNarrowLink(t *testing.T) {
 	const idle, pieces = 100 * time.Millisecond, 6
-	want := note{Text: strings.Repeat("a", 2000), Number: 7}
+	want := payload{Text: strings.Repeat("a", 2000), Number: 7}
 	content, err := codec.Marshal(&want)
 	if err != nil {
 		t.Fatal(err)
@@ -64,7 +66,7 @@
 			time.Sleep(idle / 3)
 		}
 	})
-	var got note
+	var got payload
 	if err := connection.Receive(&got); err != nil || got != want {
 		t.Errorf("received %d bytes of text, %v", len(got.Text), err)
 	}
--- a/internal/wire/conn.go
+++ b/internal/wire/conn.go
@@ -22,8 +22,8 @@
 const (
 	lengthBytes     = 4
 	readBufferBytes = 32 << 10
-	// keptBufferBytes is the largest buffer that is kept for the next frame.
-	keptBufferBytes = 1 << 20
+	// maxPooledBufferBytes is the largest buffer capacity that is kept for reuse.
+	maxPooledBufferBytes = 1 << 20
 )
 
 var frameBuffers = sync.Pool{New: func() any { return new(bytes.Buffer) }}
@@ -34,78 +34,79 @@
 	stream  net.Conn
 	options Options
 	reader  *bufio.Reader
-	// frame is the last received one; its memory is used again.
+	// frame holds the content of the last received frame; its memory is reused.
 	frame bytes.Buffer
-	// writing holds one token while a Send writes.
-	writing  chan struct{}
-	closed   atomic.Bool
-	sent     atomic.Uint64
-	received atomic.Uint64
+	// writeToken holds a token while a Send is writing; unlike a mutex, a wait
+	// for it can end with a context.
+	writeToken chan struct{}
+	closed     atomic.Bool
+	sent       atomic.Uint64
+	received   atomic.Uint64
 	// idle bounds the wait for the next bytes, in nanoseconds.
 	idle atomic.Int64
 }
 
 // NewConn returns a Conn that owns the stream.
 func NewConn(stream net.Conn, options Options) *Conn {
-	tune(stream)
+	setTCPOptions(stream)
 	options = options.withDefaults()
-	connection := &Conn{stream: stream, options: options, writing: make(chan struct{}, 1)}
+	connection := &Conn{stream: stream, options: options, writeToken: make(chan struct{}, 1)}
 	connection.idle.Store(int64(options.IdleTimeout))
 	connection.reader = bufio.NewReaderSize(progressReader{connection}, options.ReadBufferBytes)
 	return connection
 }
 
-// SetIdleTimeout changes the bound of the wait for the next bytes, from the next read on.
+// SetIdleTimeout sets how long a read waits for the next bytes, starting with the next read.
 func (c *Conn) SetIdleTimeout(idle time.Duration) { c.idle.Store(int64(idle)) }
 
-// Send writes one value as a frame. It waits for other Sends until the context
-// ends. An error that satisfies errors.Is(err, ErrNotSent) means that nothing
-// was written and the connection is as before; any other error closes the
-// connection, since a part of the frame may be out.
+// Send writes one value as a frame. It waits for concurrent Sends until the
+// context ends. An error that matches ErrNotSent means that nothing was written,
+// and the connection stays open unless the stream itself failed; any other error
+// closes the connection, since part of the frame may have been sent.
 func (c *Conn) Send(ctx context.Context, value any) error {
 	buffer := frameBuffers.Get().(*bytes.Buffer)
 	defer releaseBuffer(buffer)
 	if err := encode(buffer, value); err != nil {
-		return because(ErrNotSent, err)
+		return newCallError(ErrNotSent, err)
 	}
 	return c.send(ctx, buffer.Bytes())
 }
 
-// SendFrame writes an encoded frame, like Send.
+// SendFrame writes an encoded frame; its contract is that of Send.
 func (c *Conn) SendFrame(ctx context.Context, frame Frame) error {
 	return c.send(ctx, frame.content)
 }
 
 func (c *Conn) send(ctx context.Context, frame []byte) error {
 	if length := len(frame) - lengthBytes; length > c.options.MaxFrameBytes {
-		return because(ErrNotSent, fmt.Errorf("%w: %d bytes, limit %d", ErrFrameTooLarge, length, c.options.MaxFrameBytes))
+		return newCallError(ErrNotSent, fmt.Errorf("%w: %d bytes, limit %d", ErrFrameTooLarge, length, c.options.MaxFrameBytes))
 	}
 	select {
-	case c.writing <- struct{}{}:
-		defer func() { <-c.writing }()
+	case c.writeToken <- struct{}{}:
+		defer func() { <-c.writeToken }()
 	case <-ctx.Done():
-		return because(ErrNotSent, ctx.Err())
+		return newCallError(ErrNotSent, ctx.Err())
 	}
 	if err := ctx.Err(); err != nil {
-		return because(ErrNotSent, err)
+		return newCallError(ErrNotSent, err)
 	}
 	if c.closed.Load() {
-		return because(ErrNotSent, ErrClosed)
+		return newCallError(ErrNotSent, ErrClosed)
 	}
 	return c.write(ctx, frame)
 }
 
-// write sends a frame by one call, so that the kernel sees it whole. The write
-// is cut off after WriteTimeout or at the context's deadline; a context that is
-// cancelled meanwhile does not cut it off.
+// write sends a frame with one call, so that the kernel gets it whole. The write
+// is aborted after WriteTimeout or at the context's deadline; cancelling the
+// context during the write does not abort it.
 func (c *Conn) write(ctx context.Context, frame []byte) error {
 	deadline := time.Now().Add(c.options.WriteTimeout)
-	if earlier, set := ctx.Deadline(); set && earlier.Before(deadline) {
-		deadline = earlier
+	if contextDeadline, set := ctx.Deadline(); set && contextDeadline.Before(deadline) {
+		deadline = contextDeadline
 	}
 	if err := c.stream.SetWriteDeadline(deadline); err != nil {
 		c.Close()
-		return because(ErrNotSent, err)
+		return newCallError(ErrNotSent, err)
 	}
 	count, err := c.stream.Write(frame)
 	c.sent.Add(uint64(count))
@@ -115,21 +116,20 @@
 	}
 	c.Close()
 	if count == 0 {
-		return because(ErrNotSent, err)
+		return newCallError(ErrNotSent, err)
 	}
-	return because(ErrConnectionLost, err)
+	return newCallError(ErrConnectionLost, err)
 }
 
 func releaseBuffer(buffer *bytes.Buffer) {
-	if buffer.Cap() <= keptBufferBytes {
+	if buffer.Cap() <= maxPooledBufferBytes {
 		frameBuffers.Put(buffer)
 	}
 }
 
 // Receive reads one frame into value, a pointer. It returns io.EOF if the peer
-// closed the connection between two frames, and an error that satisfies
-// errors.Is(err, io.ErrUnexpectedEOF) if it closed within one. After any error
-// the connection is closed.
+// closed the connection between two frames, and an error that matches
+// io.ErrUnexpectedEOF if it closed within one. Any error closes the connection.
 func (c *Conn) Receive(value any) error {
 	err := c.receive(value)
 	if err != nil {
@@ -147,13 +147,13 @@
 		return err
 	}
 	err = c.decode(compressed, value)
-	if c.frame.Cap() > keptBufferBytes {
+	if c.frame.Cap() > maxPooledBufferBytes {
 		c.frame = bytes.Buffer{}
 	}
 	return err
 }
 
-// decode reads the value out of the received frame.
+// decode decodes the content of the received frame into value.
 func (c *Conn) decode(compressed bool, value any) error {
 	if !compressed {
 		return codec.Unmarshal(c.frame.Bytes(), value)
@@ -176,16 +176,16 @@
 	if err != nil {
 		return 0, false, eris.Wrap(err, "receive frame")
 	}
-	announced := binary.BigEndian.Uint32(header[:])
-	length = int64(announced &^ compressedFlag)
+	prefix := binary.BigEndian.Uint32(header[:])
+	length = int64(prefix &^ compressedFlag)
 	if length > int64(c.options.MaxFrameBytes) {
 		return 0, false, fmt.Errorf("%w: received length %d, limit %d", ErrFrameTooLarge, length, c.options.MaxFrameBytes)
 	}
-	return length, announced&compressedFlag != 0, nil
+	return length, prefix&compressedFlag != 0, nil
 }
 
-// receiveContent reads the rest of a frame. Memory grows with what arrives, not
-// with what the peer claims.
+// receiveContent reads the content of a frame. Memory grows with the bytes that
+// arrive, not with the length that the peer announces.
 func (c *Conn) receiveContent(length int64) error {
 	c.frame.Reset()
 	count, err := io.CopyN(&c.frame, c.reader, length)
@@ -196,8 +196,9 @@
 	return eris.Wrap(err, "receive frame")
 }
 
-// progressReader reads from a stream and gives up once no byte came for a time, however
-// long the frame is: a narrow link needs its time for a long one.
+// progressReader reads from the connection's stream and fails once no byte has arrived for
+// the idle timeout, however long the whole frame takes: a long frame needs its time on a
+// low-bandwidth link.
 type progressReader struct{ connection *Conn }
 
 // Read implements io.Reader.
@@ -211,33 +212,33 @@
 	return count, err
 }
 
-// Close ends the connection; blocked calls return. It may be called repeatedly.
+// Close closes the connection; blocked calls return. It may be called repeatedly.
 func (c *Conn) Close() {
 	if c.closed.CompareAndSwap(false, true) {
 		_ = c.stream.Close() // nothing can be done about a failure
 	}
 }
 
-// BytesSent returns the bytes written, frame lengths included.
+// BytesSent returns the number of bytes written, including the length fields.
 func (c *Conn) BytesSent() uint64 { return c.sent.Load() }
 
-// BytesReceived returns the bytes read, frame lengths included.
+// BytesReceived returns the number of bytes read, including the length fields.
 func (c *Conn) BytesReceived() uint64 { return c.received.Load() }
 
-// PeerName returns the common name of the peer's certificate, or false on a
-// plain connection. On the accepting side it is known once a frame was received.
+// PeerName returns the common name of the peer's certificate, or false on a connection
+// without TLS. On the accepting side it is known once a frame has been received.
 func (c *Conn) PeerName() (string, bool) { return certificate.PeerName(c.stream) }
 
-// PeerUnits returns the organizational units of the peer's certificate, as PeerName does its name.
+// PeerUnits returns the organizational units of the peer's certificate, available when PeerName is.
 func (c *Conn) PeerUnits() []string { return certificate.PeerUnits(c.stream) }
 
 // RemoteAddress returns the peer's address, for logs.
 func (c *Conn) RemoteAddress() string { return c.stream.RemoteAddr().String() }
 
-// awaitClose reads until the peer closes the connection or Close is called. It
-// is for connections on which the peer sends nothing.
+// awaitClose blocks until the peer closes the connection or Close is called. It is only
+// for connections on which the peer sends nothing.
 func (c *Conn) awaitClose() {
 	var discarded [1]byte
-	_ = c.stream.SetReadDeadline(time.Time{}) // a failure shows in the read
-	_, _ = c.stream.Read(discarded[:])        // any result means the end
+	_ = c.stream.SetReadDeadline(time.Time{}) // the read reports a failure
+	_, _ = c.stream.Read(discarded[:])        // any result means that the connection ended
 }
--- a/internal/wire/conn_test.go
+++ b/internal/wire/conn_test.go
@@ -11,15 +11,15 @@
 	"time"
 )
 
-// patience bounds waits that end at once unless there is a fault.
-const patience = 20 * time.Second
+// testTimeout bounds waits that end at once unless there is a fault.
+const testTimeout = 20 * time.Second
 
-type note struct {
+type payload struct {
 	Text   string
 	Number int
 }
 
-// pair returns a Conn over TCP and the bare far end of its stream.
+// pair returns a Conn over TCP and the raw peer end of its stream.
 func pair(t *testing.T, options Options) (*Conn, net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -35,10 +35,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return own(t, near, far, options), far
+	return newTestConn(t, near, far, options), far
 }
 
-func own(t *testing.T, near, far net.Conn, options Options) *Conn {
+func newTestConn(t *testing.T, near, far net.Conn, options Options) *Conn {
 	connection := NewConn(near, options)
 	t.Cleanup(func() {
 		connection.Close()
@@ -47,7 +47,7 @@
 	return connection
 }
 
-// frameOf returns a value as the bytes on the wire.
+// frameOf returns the bytes that a value takes on the wire.
 func frameOf(t *testing.T, value any) []byte {
 	t.Helper()
 	connection, far := pair(t, Options{})
@@ -63,10 +63,10 @@
 	return frame
 }
 
-// TestFrameCutAtEachByte: a frame that was cut never looks like a whole one or
-// like an orderly end.
+// TestFrameCutAtEachByte checks that a truncated frame is never taken for a
+// whole one or for an orderly close.
 func TestFrameCutAtEachByte(t *testing.T) {
-	want := note{Text: strings.Repeat("a", 300), Number: 7}
+	want := payload{Text: strings.Repeat("a", 300), Number: 7}
 	frame := frameOf(t, &want)
 	for cut := range len(frame) + 1 {
 		connection, far := pair(t, Options{})
@@ -74,7 +74,7 @@
 			_, _ = far.Write(frame[:cut])
 			_ = far.Close()
 		})
-		var got note
+		var got payload
 		err := connection.Receive(&got)
 		switch {
 		case cut == len(frame):
@@ -97,22 +97,23 @@
 func TestFrameTooLarge(t *testing.T) {
 	const limit = 1000
 	connection, far := pair(t, Options{MaxFrameBytes: limit})
-	err := connection.Send(context.Background(), &note{Text: strings.Repeat("a", limit)})
+	err := connection.Send(context.Background(), &payload{Text: strings.Repeat("a", limit)})
 	if !errors.Is(err, ErrNotSent) || !errors.Is(err, ErrFrameTooLarge) || connection.BytesSent() != 0 {
 		t.Fatalf("send: got %v with %d bytes sent", err, connection.BytesSent())
 	}
 	var header [lengthBytes]byte
 	binary.BigEndian.PutUint32(header[:], limit+1)
 	group.Go(func() { _, _ = far.Write(header[:]) })
-	if err := connection.Receive(&note{}); !errors.Is(err, ErrFrameTooLarge) {
+	if err := connection.Receive(&payload{}); !errors.Is(err, ErrFrameTooLarge) {
 		t.Fatalf("receive: got %v", err)
 	}
 	if connection.frame.Cap() > limit {
-		t.Errorf("%d bytes were set aside for a refused frame", connection.frame.Cap())
+		t.Errorf("%d bytes were allocated for a rejected frame", connection.frame.Cap())
 	}
 }
 
-// TestClaimedLengthTakesNoMemory: memory grows with the bytes that come.
+// TestClaimedLengthTakesNoMemory checks that memory grows with the bytes that
+// arrive, not with the announced length.
 func TestClaimedLengthTakesNoMemory(t *testing.T) {
 	connection, far := pair(t, Options{})
 	var header [lengthBytes]byte
@@ -121,33 +122,33 @@
 		_, _ = far.Write(header[:])
 		_ = far.Close()
 	})
-	if err := connection.Receive(&note{}); !errors.Is(err, io.ErrUnexpectedEOF) {
+	if err := connection.Receive(&payload{}); !errors.Is(err, io.ErrUnexpectedEOF) {
 		t.Fatalf("got %v", err)
 	}
 	if connection.frame.Cap() > readBufferBytes {
-		t.Errorf("%d bytes were set aside for none that came", connection.frame.Cap())
+		t.Errorf("%d bytes were allocated although none arrived", connection.frame.Cap())
 	}
 }
 
-// TestSendCancelled: a Send that waits for its turn ends with its context and
-// leaves the connection as it was; one that is cut off within its frame closes
-// the connection, so that nothing can follow half a frame.
+// TestSendCancelled checks that a Send that waits for another one ends with its
+// context and leaves the connection usable, and that a Send that is aborted
+// within its frame closes the connection, so that nothing follows a partial frame.
 func TestSendCancelled(t *testing.T) {
-	near, far := net.Pipe() // a write waits for its reader
-	connection := own(t, near, far, Options{WriteTimeout: patience})
+	near, far := net.Pipe() // unbuffered: a write blocks until it is read
+	connection := newTestConn(t, near, far, Options{WriteTimeout: testTimeout})
 	first := make(chan error, 1)
-	group.Go(func() { first <- connection.Send(context.Background(), &note{Number: 1}) })
+	group.Go(func() { first <- connection.Send(context.Background(), &payload{Number: 1}) })
 	if _, err := io.ReadFull(far, make([]byte, lengthBytes)); err != nil { // the first Send is writing now
 		t.Fatal(err)
 	}
 	cancelled, cancel := context.WithCancel(context.Background())
 	second := make(chan error, 1)
-	group.Go(func() { second <- connection.Send(cancelled, &note{Number: 2}) })
+	group.Go(func() { second <- connection.Send(cancelled, &payload{Number: 2}) })
 	cancel()
 	if err := <-second; !errors.Is(err, ErrNotSent) || !errors.Is(err, context.Canceled) {
 		t.Fatalf("the waiting Send: got %v", err)
 	}
-	rest := make([]byte, len(frameOf(t, &note{Number: 1}))-lengthBytes)
+	rest := make([]byte, len(frameOf(t, &payload{Number: 1}))-lengthBytes)
 	if _, err := io.ReadFull(far, rest); err != nil {
 		t.Fatal(err)
 	}
@@ -158,10 +159,10 @@
 	expiring, cancelExpiring := context.WithTimeout(context.Background(), 20*time.Millisecond)
 	defer cancelExpiring()
 	group.Go(func() { _, _ = io.ReadFull(far, make([]byte, 1)) })
-	if err := connection.Send(expiring, &note{Number: 3}); !errors.Is(err, ErrConnectionLost) {
-		t.Fatalf("the Send that was cut off: got %v", err)
+	if err := connection.Send(expiring, &payload{Number: 3}); !errors.Is(err, ErrConnectionLost) {
+		t.Fatalf("the Send aborted within its frame: got %v", err)
 	}
-	if err := connection.Send(context.Background(), &note{Number: 4}); !errors.Is(err, ErrClosed) {
-		t.Fatalf("after half a frame: got %v", err)
+	if err := connection.Send(context.Background(), &payload{Number: 4}); !errors.Is(err, ErrClosed) {
+		t.Fatalf("after a partial frame: got %v", err)
 	}
 }
--- a/internal/wire/errors.go
+++ b/internal/wire/errors.go
@@ -5,23 +5,23 @@
 	"fmt"
 )
 
-// Errors of this package; test for them with errors.Is.
+// Errors of this package; match them with errors.Is.
 var (
-	// ErrFrameTooLarge: a frame exceeds Options.MaxFrameBytes.
+	// ErrFrameTooLarge means that a frame exceeds Options.MaxFrameBytes.
 	ErrFrameTooLarge = errors.New("frame exceeds the size limit")
-	// ErrNotSent: nothing was written to the peer, so nothing ran there.
+	// ErrNotSent means that nothing was written to the peer, so nothing ran there.
 	ErrNotSent = errors.New("not sent")
-	// ErrConnectionLost: the connection broke after the request was written, in
-	// whole or in part. The outcome is unknown.
+	// ErrConnectionLost means that the connection broke after the request was written,
+	// in whole or in part. The outcome is unknown.
 	ErrConnectionLost = errors.New("connection lost")
-	// ErrNoAnswer: the caller's context ended before the answer came. The
-	// outcome is unknown.
+	// ErrNoAnswer means that the caller's context ended before the answer came, or that the
+	// answer could not be decoded. The outcome is unknown.
 	ErrNoAnswer = errors.New("no answer in time")
-	// ErrClosed: Close or Stop was called.
+	// ErrClosed means that the client or the connection is closed.
 	ErrClosed = errors.New("closed")
 )
 
-// callError joins one of the errors above with what caused it.
+// callError combines one of the errors above with its cause.
 type callError struct {
 	kind  error
 	cause error
@@ -32,7 +32,7 @@
 	return fmt.Sprintf("%v: %v", e.kind, e.cause)
 }
 
-// Is reports whether the error is of a kind; the cause is found by Unwrap.
+// Is reports whether target is the error's kind; errors.Is finds the cause through Unwrap.
 func (e *callError) Is(target error) bool {
 	return target == e.kind
 }
@@ -42,6 +42,6 @@
 	return e.cause
 }
 
-func because(kind, cause error) error {
+func newCallError(kind, cause error) error {
 	return &callError{kind: kind, cause: cause}
 }
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -12,7 +12,7 @@
 	content []byte
 }
 
-// Encode returns the frame of a value.
+// Encode returns the frame that carries a value.
 func Encode(value any) (Frame, error) {
 	var buffer bytes.Buffer
 	if err := encode(&buffer, value); err != nil {
@@ -21,10 +21,10 @@
 	return Frame{content: buffer.Bytes()}, nil
 }
 
-// Bytes returns the size of the frame with its length.
+// Bytes returns the size of the frame in bytes, including its length field.
 func (f Frame) Bytes() int { return len(f.content) }
 
-// encode puts a whole frame into a buffer, in place of what it held.
+// encode replaces the content of a buffer by the whole frame of a value.
 func encode(buffer *bytes.Buffer, value any) error {
 	buffer.Reset()
 	buffer.Write(make([]byte, lengthBytes))
@@ -32,14 +32,14 @@
 		return err
 	}
 	header := uint32(0)
-	if buffer.Len() > compressAbove {
+	if buffer.Len() > compressionThreshold {
 		if err := compress(buffer); err != nil {
 			return err
 		}
 		header = compressedFlag
 	}
 	length := buffer.Len() - lengthBytes
-	if length > mostLength {
+	if length > maxFrameLength {
 		return ErrFrameTooLarge
 	}
 	binary.BigEndian.PutUint32(buffer.Bytes(), header|uint32(length))
--- a/internal/wire/options.go
+++ b/internal/wire/options.go
@@ -22,22 +22,23 @@
 // DialFunc opens a stream to an address, IP:port.
 type DialFunc func(ctx context.Context, address string) (net.Conn, error)
 
-// Options configures connections. Zero fields take the defaults.
+// Options configures connections. Zero fields select the defaults.
 type Options struct {
-	// MaxFrameBytes bounds a frame's content, sent and received.
+	// MaxFrameBytes bounds the content of a frame, sent or received; content received
+	// compressed must also fit once decompressed.
 	MaxFrameBytes int
-	// WriteTimeout bounds the writing of one frame.
+	// WriteTimeout bounds the time to write one frame.
 	WriteTimeout time.Duration
-	// ReadBufferBytes is the size of the buffer for reading.
+	// ReadBufferBytes is the size of the read buffer.
 	ReadBufferBytes int
-	// IdleTimeout bounds the wait for the next bytes, of a frame or within one.
+	// IdleTimeout bounds the wait for the next bytes, between frames or within one.
 	IdleTimeout time.Duration
-	// DialTimeout bounds the opening of a connection.
+	// DialTimeout bounds the time to open a connection.
 	DialTimeout time.Duration
 	// Dial opens connections; nil means TCP.
 	Dial DialFunc
-	// Passed is told of bytes as they are read and written; nil for nobody. It must be fast
-	// and safe for concurrent use.
+	// Passed, if set, is called with the number of bytes of each read and write. It must be
+	// fast and safe for concurrent use.
 	Passed func(received, sent int)
 }
 
@@ -83,9 +84,10 @@
 	return NewConn(stream, options), nil
 }
 
-// tune sets TCP options. They only affect speed and the detection of dead
-// peers, so that a failure is left to the next read or write to report.
-func tune(stream net.Conn) {
+// setTCPOptions sets socket options. They affect only latency and the detection of
+// dead peers, so errors are ignored; the next read or write reports a broken
+// connection.
+func setTCPOptions(stream net.Conn) {
 	if secured, isTLS := stream.(*tls.Conn); isTLS {
 		stream = secured.NetConn()
 	}
--- a/internal/wire/patient.go
+++ b/internal/wire/patient.go
@@ -7,30 +7,30 @@
 	"time"
 )
 
-// descriptorPause is the wait after a connection could not be accepted for want of descriptors: some
-// are closed within it where connections are short.
-const descriptorPause = 20 * time.Millisecond
+// descriptorRetryDelay is the wait after an accept failed for lack of file descriptors: with
+// short-lived connections, some are closed within it.
+const descriptorRetryDelay = 20 * time.Millisecond
 
-// patientListener goes on after connections that could not be accepted.
-type patientListener struct {
+// retryingListener retries an accept that failed for lack of file descriptors.
+type retryingListener struct {
 	net.Listener
-	failed func(error)
+	onRetry func(error)
 }
 
-// Patient returns a listener that waits while the process has no descriptors left, where a server
-// would else end for good. Failed is called each time, with the reason.
+// Patient returns a listener that waits and retries while no file descriptors are left; a
+// server would otherwise stop for good. It calls failed with the error of each such attempt.
 func Patient(listener net.Listener, failed func(error)) net.Listener {
-	return patientListener{Listener: listener, failed: failed}
+	return retryingListener{Listener: listener, onRetry: failed}
 }
 
 // Accept implements net.Listener.
-func (l patientListener) Accept() (net.Conn, error) {
+func (l retryingListener) Accept() (net.Conn, error) {
 	for {
 		connection, err := l.Listener.Accept()
 		if err == nil || !errors.Is(err, syscall.EMFILE) && !errors.Is(err, syscall.ENFILE) {
 			return connection, err
 		}
-		l.failed(err)
-		time.Sleep(descriptorPause)
+		l.onRetry(err)
+		time.Sleep(descriptorRetryDelay)
 	}
 }
--- a/internal/wire/patient_test.go
+++ b/internal/wire/patient_test.go
@@ -8,13 +8,13 @@
 	"testing"
 )
 
-// failing is a listener whose first accepts fail.
-type failing struct {
+// failingListener returns one of the given errors for each Accept, or a connection for nil.
+type failingListener struct {
 	net.Listener
 	failures []error
 }
 
-func (f *failing) Accept() (net.Conn, error) {
+func (f *failingListener) Accept() (net.Conn, error) {
 	next := f.failures[0]
 	f.failures = f.failures[1:]
 	if next != nil {
@@ -23,15 +23,16 @@
 	return &net.TCPConn{}, nil
 }
 
-// TestListenerOutlastsWantOfDescriptors: it accepts again once there are some; another failure
-// ends it. One that found none ended the API of a leader of 9,999 servers for good.
+// TestListenerOutlastsWantOfDescriptors checks that the listener retries when file descriptors
+// run out, and that any other error is returned. Without the retry, the API of a leader with
+// 9,999 servers stopped for good when it found no descriptor.
 func TestListenerOutlastsWantOfDescriptors(t *testing.T) {
-	told := 0
-	listener := Patient(&failing{failures: []error{syscall.EMFILE, syscall.ENFILE, nil, syscall.EINVAL}}, func(error) { told++ })
-	if connection, err := listener.Accept(); err != nil || connection == nil || told != 2 {
-		t.Errorf("connection %v, error %v, told %d times", connection, err, told)
+	reported := 0
+	listener := Patient(&failingListener{failures: []error{syscall.EMFILE, syscall.ENFILE, nil, syscall.EINVAL}}, func(error) { reported++ })
+	if connection, err := listener.Accept(); err != nil || connection == nil || reported != 2 {
+		t.Errorf("connection %v, error %v, reported %d times", connection, err, reported)
 	}
 	if _, err := listener.Accept(); !errors.Is(err, syscall.EINVAL) {
-		t.Errorf("another failure: %v", err)
+		t.Errorf("another error: %v", err)
 	}
 }
--- a/internal/wire/peer_sender.go
+++ b/internal/wire/peer_sender.go
@@ -12,41 +12,41 @@
 )
 
 const (
-	// peerQueue bounds the batches that wait for one peer.
-	peerQueue = 1024
-	// batchMessages bounds the messages that one frame joins.
-	batchMessages = 256
-	// redialPause is the least time between two attempts to connect.
-	redialPause = 50 * time.Millisecond
+	// peerQueueBatches bounds the batches queued for one connection.
+	peerQueueBatches = 1024
+	// maxBatchMessages is the size at which no further batch is joined into a frame.
+	maxBatchMessages = 256
+	// redialDelay is the wait after a failed attempt to connect.
+	redialDelay = 50 * time.Millisecond
 )
 
 // peerConnections is the number of connections to one replica.
 const peerConnections = 3
 
 // PeerSender sends consensus messages to one replica. Heartbeats and their answers
-// take turns on three connections: what follows a lost packet on a connection waits
-// until the packet has been sent again, which takes as long as a leader may go
-// without a quorum. All else keeps its order on the first connection.
+// rotate over three connections: whatever follows a lost packet on a connection waits
+// for the retransmission, which takes as long as a leader may go without a quorum.
+// All other messages keep their order on the first connection.
 type PeerSender struct {
 	connections [peerConnections]*peerConnection
-	// turns is used by the caller's goroutine alone.
+	// turns is used only by the goroutine that calls Send.
 	turns Turns
 }
 
-// Turns chooses the connection to a replica for each message. The zero value is
-// ready for use.
-type Turns struct{ taken int }
+// Turns selects the connection to a replica for each message, by rotation for
+// heartbeats. The zero value is ready for use.
+type Turns struct{ heartbeats int }
 
-// Connection returns the number of the connection that a message goes by.
+// Connection returns the index of the connection that a message is sent on.
 func (t *Turns) Connection(sent consensus.Message) int {
 	if sent.Kind != consensus.MessageHeartbeat && sent.Kind != consensus.MessageHeartbeatAnswer {
 		return 0
 	}
-	t.taken++
-	return t.taken % peerConnections
+	t.heartbeats++
+	return t.heartbeats % peerConnections
 }
 
-// NewPeerSender starts a sender to an address. Hello is sent first on each
+// NewPeerSender starts a sender to an address. It sends hello first on each
 // connection.
 func NewPeerSender(address string, hello message.Hello, options Options) *PeerSender {
 	sender := &PeerSender{}
@@ -56,12 +56,12 @@
 	return sender
 }
 
-// Send queues messages without waiting; they are dropped if a queue is full. One
-// goroutine at a time may call it.
+// Send queues messages without blocking and drops those whose queue is full. It
+// must not be called concurrently.
 func (s *PeerSender) Send(messages []consensus.Message) {
 	var batches [peerConnections][]consensus.Message
 	for _, each := range messages {
-		index := s.usable(s.turns.Connection(each))
+		index := s.openOrFirst(s.turns.Connection(each))
 		batches[index] = append(batches[index], each)
 	}
 	for index, batch := range batches {
@@ -71,36 +71,37 @@
 	}
 }
 
-// usable returns the connection itself if it stands, else the first one: a machine that
-// starts may be reached by one connection a second before another.
-func (s *PeerSender) usable(connection int) int {
+// openOrFirst returns the given connection index if that connection is open, else the
+// first one: a replica that is starting may be reachable on one connection a second
+// before another.
+func (s *PeerSender) openOrFirst(connection int) int {
 	if s.connections[connection].open.Load() {
 		return connection
 	}
 	return 0
 }
 
-// Dropped returns how many messages were not sent.
+// Dropped returns the number of messages that were dropped.
 func (s *PeerSender) Dropped() uint64 {
 	dropped := uint64(0)
-	for _, each := range s.connections {
-		dropped += each.dropped.Load()
+	for _, connection := range s.connections {
+		dropped += connection.dropped.Load()
 	}
 	return dropped
 }
 
 // Stop closes the connections and waits for the sender's goroutines.
 func (s *PeerSender) Stop() {
-	for _, each := range s.connections {
-		each.cancel()
+	for _, connection := range s.connections {
+		connection.cancel()
 	}
-	for _, each := range s.connections {
-		each.group.Wait()
+	for _, connection := range s.connections {
+		connection.group.Wait()
 	}
 }
 
-// peerConnection is one connection to a replica, opened again whenever it breaks.
-// Messages that find no room or no connection are dropped, as the consensus
+// peerConnection is one connection to a replica, reopened whenever it breaks.
+// Messages that find the queue full or no connection are dropped, as the consensus
 // algorithm allows; nothing is sent twice.
 type peerConnection struct {
 	address string
@@ -108,7 +109,7 @@
 	options Options
 	queue   chan []consensus.Message
 	dropped atomic.Uint64
-	// open is true while the connection stands.
+	// open is true while the connection is established.
 	open   atomic.Bool
 	cancel context.CancelFunc
 	group  conc.WaitGroup
@@ -120,14 +121,14 @@
 		address: address,
 		hello:   hello,
 		options: options,
-		queue:   make(chan []consensus.Message, peerQueue),
+		queue:   make(chan []consensus.Message, peerQueueBatches),
 		cancel:  cancel,
 	}
 	connection.group.Go(func() { connection.run(ctx) })
 	return connection
 }
 
-// send queues messages without waiting.
+// send queues messages without blocking; it drops them if the queue is full.
 func (c *peerConnection) send(messages []consensus.Message) {
 	select {
 	case c.queue <- messages:
@@ -140,8 +141,8 @@
 	for ctx.Err() == nil {
 		connection, err := c.connect(ctx)
 		if err != nil {
-			c.dropWaiting()
-			pause(ctx, redialPause)
+			c.dropQueued()
+			sleep(ctx, redialDelay)
 			continue
 		}
 		c.open.Store(true)
@@ -163,12 +164,12 @@
 	return connection, nil
 }
 
-// write sends batches until a write fails, the peer closes, or the context
-// ends.
+// write sends batches until a write fails, the peer closes the connection or the
+// context ends.
 func (c *peerConnection) write(ctx context.Context, connection *Conn) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	// The peer sends nothing on this connection; a read ends when it closes.
+	// The peer sends nothing on this connection, so a read returns only when it closes.
 	var watching conc.WaitGroup
 	defer watching.Wait()
 	defer connection.Close()
@@ -181,7 +182,7 @@
 		case <-ctx.Done():
 			return
 		case batch := <-c.queue:
-			batch = c.joinWaiting(batch)
+			batch = c.appendQueued(batch)
 			frame := message.ConsensusBatch{Cluster: c.hello.Cluster, Messages: batch}
 			if err := connection.Send(ctx, &frame); err != nil {
 				c.dropped.Add(uint64(len(batch)))
@@ -191,9 +192,9 @@
 	}
 }
 
-// joinWaiting adds batches that wait already, so that one write carries them.
-func (c *peerConnection) joinWaiting(batch []consensus.Message) []consensus.Message {
-	for len(batch) < batchMessages {
+// appendQueued appends batches that are already queued, so that one write carries them.
+func (c *peerConnection) appendQueued(batch []consensus.Message) []consensus.Message {
+	for len(batch) < maxBatchMessages {
 		select {
 		case next := <-c.queue:
 			batch = append(batch[:len(batch):len(batch)], next...)
@@ -204,9 +205,9 @@
 	return batch
 }
 
-// dropWaiting empties the queue: messages that waited for a connection are out
-// of date once it stands.
-func (c *peerConnection) dropWaiting() {
+// dropQueued empties the queue: messages that waited for a connection would be
+// out of date once it is established.
+func (c *peerConnection) dropQueued() {
 	for {
 		select {
 		case batch := <-c.queue:
--- a/internal/wire/server.go
+++ b/internal/wire/server.go
@@ -13,20 +13,20 @@
 	"github.com/sourcegraph/conc/panics"
 )
 
-// DefaultMaxConnections is used where Server.MaxConnections is zero.
+// DefaultMaxConnections applies if Server.MaxConnections is zero.
 const DefaultMaxConnections = 1024
 
-// acceptPause is the wait after a failed accept, as when file descriptors ran
-// out.
-const acceptPause = 20 * time.Millisecond
+// acceptRetryDelay is the wait after a failed accept, for example when file
+// descriptors have run out.
+const acceptRetryDelay = 20 * time.Millisecond
 
 // Server accepts connections. Set the fields before Serve.
 type Server struct {
 	Options Options
-	// MaxConnections bounds the open connections; more are closed at once.
+	// MaxConnections bounds the open connections; excess ones are closed at once.
 	MaxConnections int
-	// Panicked, if set, is told of panics in handlers. The connection is
-	// closed and the server goes on.
+	// Panicked, if set, is called with each panic recovered from a handler. The
+	// connection is closed and the server continues.
 	Panicked func(*panics.Recovered)
 
 	mutex   sync.Mutex
@@ -36,8 +36,8 @@
 
 // Serve accepts connections until the context ends, and runs the handler for
 // each on its own goroutine; the connection is closed when the handler returns.
-// Serve owns the listener. It returns nil after the context ended, once all
-// connections are closed and all handlers have returned. Call it once.
+// Serve owns the listener. Once the context has ended, it closes all connections
+// and returns nil after all handlers have returned. It must be called only once.
 func (s *Server) Serve(ctx context.Context, listener net.Listener, handler func(context.Context, *Conn)) error {
 	ctx, cancel := context.WithCancel(ctx)
 	s.mutex.Lock()
@@ -46,7 +46,7 @@
 	var running conc.WaitGroup
 	running.Go(func() {
 		<-ctx.Done()
-		_ = listener.Close() // it only has to stop accepting
+		_ = listener.Close() // closed only to end Accept
 		s.closeAll()
 	})
 	err := s.accept(ctx, listener, &running, handler)
@@ -68,7 +68,7 @@
 			return eris.Wrap(err, "accept connections")
 		}
 		if err != nil {
-			pause(ctx, acceptPause)
+			sleep(ctx, acceptRetryDelay)
 			continue
 		}
 		connection := NewConn(stream, s.Options)
@@ -81,7 +81,7 @@
 	}
 }
 
-// admit counts a connection in, if there is room and the server still runs.
+// admit registers a connection unless the limit is reached or the server is stopping.
 func (s *Server) admit(ctx context.Context, connection *Conn) bool {
 	limit := s.MaxConnections
 	if limit <= 0 {
@@ -122,11 +122,11 @@
 	return len(s.open)
 }
 
-// Refused returns how many connections were closed for lack of room.
+// Refused returns how many connections were closed because of MaxConnections.
 func (s *Server) Refused() uint64 { return s.refused.Load() }
 
-// pause waits for a duration or until the context ends.
-func pause(ctx context.Context, duration time.Duration) {
+// sleep waits for a duration or until the context ends.
+func sleep(ctx context.Context, duration time.Duration) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
--- a/internal/wire/server_test.go
+++ b/internal/wire/server_test.go
@@ -16,21 +16,21 @@
 	"github.com/thorntiller/thorntiller/internal/message"
 )
 
-// group holds the goroutines of this package's tests.
+// group tracks the goroutines that the tests of this package start.
 var group conc.WaitGroup
 
-// startServer serves until the test ends, and returns its address and what
-// stops it.
+// startServer serves until the test ends, and returns the address and a function
+// that stops the server earlier.
 func startServer(t *testing.T, server *Server, handler func(context.Context, *Conn)) (string, func()) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return listener.Addr().String(), startOn(t, listener, server, handler)
+	return listener.Addr().String(), serveOn(t, listener, server, handler)
 }
 
-func startOn(t *testing.T, listener net.Listener, server *Server, handler func(context.Context, *Conn)) func() {
+func serveOn(t *testing.T, listener net.Listener, server *Server, handler func(context.Context, *Conn)) func() {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -57,17 +57,17 @@
 
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !holds(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("not reached: %s", what)
 		}
 	}
 }
 
-// echo answers each note; number 13 makes it panic.
+// echo returns each message to its sender; it panics on number 13.
 func echo(ctx context.Context, connection *Conn) {
 	for {
-		var received note
+		var received payload
 		if connection.Receive(&received) != nil {
 			return
 		}
@@ -81,8 +81,8 @@
 }
 
 func exchange(connection *Conn, number int) error {
-	var answer note
-	if err := connection.Send(context.Background(), &note{Number: number}); err != nil {
+	var answer payload
+	if err := connection.Send(context.Background(), &payload{Number: number}); err != nil {
 		return err
 	}
 	return connection.Receive(&answer)
@@ -102,18 +102,18 @@
 	if err := exchange(first, 13); err == nil {
 		t.Fatal("a handler that panicked answered")
 	}
-	eventually(t, "room after a panic", func() bool { return server.Connections() == 1 })
+	eventually(t, "connection released after a panic", func() bool { return server.Connections() == 1 })
 	if err := errors.Join(exchange(dial(t, address), 4), exchange(second, 5)); err != nil || recovered.Load() != 1 {
-		t.Fatalf("after a panic: got %v, %d panics told", err, recovered.Load())
+		t.Fatalf("after a panic: got %v, %d panics reported", err, recovered.Load())
 	}
 	stop()
 	if err := exchange(second, 6); err == nil || server.Connections() != 0 {
-		t.Errorf("after the end: got %v, %d connections", err, server.Connections())
+		t.Errorf("after the stop: got %v, %d connections", err, server.Connections())
 	}
 }
 
-// TestCallsGetTheirOwnAnswers: answers come in any order, some too late; each
-// call gets its own or an error.
+// TestCallsGetTheirOwnAnswers checks that each call gets its own answer or an
+// error when answers come out of order or too late.
 func TestCallsGetTheirOwnAnswers(t *testing.T) {
 	release := make(chan struct{})
 	server := &Server{}
@@ -121,7 +121,7 @@
 		if connection.Receive(&message.Hello{}) != nil {
 			return
 		}
-		_ = ServeCalls(ctx, connection, 64, func(ctx context.Context, request *note) *note {
+		_ = ServeCalls(ctx, connection, 64, func(ctx context.Context, request *payload) *payload {
 			if request.Text == "held" {
 				select {
 				case <-release:
@@ -135,32 +135,32 @@
 	t.Cleanup(client.Close)
 	expiring, cancel := context.WithTimeout(context.Background(), 20*time.Millisecond)
 	defer cancel()
-	if err := client.Call(expiring, &note{Text: "held"}, &note{}); !errors.Is(err, ErrNoAnswer) {
+	if err := client.Call(expiring, &payload{Text: "held"}, &payload{}); !errors.Is(err, ErrNoAnswer) {
 		t.Fatalf("the call that got no answer in time: got %v", err)
 	}
 	close(release)
 	var calls conc.WaitGroup
 	for number := range 200 {
 		calls.Go(func() {
-			var answer note
-			if err := client.Call(context.Background(), &note{Number: number}, &answer); err != nil || answer.Number != number {
+			var answer payload
+			if err := client.Call(context.Background(), &payload{Number: number}, &answer); err != nil || answer.Number != number {
 				t.Errorf("call %d: got %+v, %v", number, answer, err)
 			}
 		})
 	}
 	calls.Wait()
 	stop()
-	if err := client.Call(context.Background(), &note{}, &note{}); !errors.Is(err, ErrNotSent) && !errors.Is(err, ErrConnectionLost) {
-		t.Errorf("after the server's end: got %v", err)
+	if err := client.Call(context.Background(), &payload{}, &payload{}); !errors.Is(err, ErrNotSent) && !errors.Is(err, ErrConnectionLost) {
+		t.Errorf("after the server stopped: got %v", err)
 	}
-	eventually(t, "calls that are known as not sent", func() bool {
-		return errors.Is(client.Call(context.Background(), &note{}, &note{}), ErrNotSent)
+	eventually(t, "calls that fail with ErrNotSent", func() bool {
+		return errors.Is(client.Call(context.Background(), &payload{}, &payload{}), ErrNotSent)
 	})
 }
 
-// TestPeerSenderDropsAndReconnects: messages without a connection are counted as
-// dropped; each connection begins with the hello; nothing comes twice or out of
-// order.
+// TestPeerSenderDropsAndReconnects checks that messages without a connection
+// count as dropped, that each connection begins with the hello, and that nothing
+// arrives twice or out of order.
 func TestPeerSenderDropsAndReconnects(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -177,7 +177,7 @@
 	handler := func(ctx context.Context, connection *Conn) {
 		var hello message.Hello
 		if err := connection.Receive(&hello); ctx.Err() != nil && err != nil {
-			return // the server stops, and closed the connection before its first frame arrived
+			return // the server is stopping and closed the connection before the first frame arrived
 		} else if err != nil || hello.From != "a" {
 			t.Errorf("the first frame is %+v, %v", hello, err)
 			return
@@ -197,7 +197,7 @@
 		if listener, err = net.Listen("tcp", address); err != nil {
 			t.Fatal(err)
 		}
-		stop := startOn(t, listener, &Server{}, handler)
+		stop := serveOn(t, listener, &Server{}, handler)
 		last := uint64(0)
 		eventually(t, "messages of a new connection", func() bool {
 			newest++
--- a/internal/wire/silence.go
+++ b/internal/wire/silence.go
@@ -9,14 +9,14 @@
 )
 
 // SilenceTimeout is how long sent bytes may stay unacknowledged before a connection counts
-// as dead: a peer without power, or a path that drops all packets, says nothing. It is far
-// above the round trips within a region, also those behind a queue of some hundred
-// milliseconds, and below the time within which another peer can still be asked.
+// as dead: a peer without power, or a path that drops all packets, sends no reset. It is far
+// above the round-trip times within a region, even behind a queue of some hundred
+// milliseconds, and short enough that another peer can still be asked in time.
 const SilenceTimeout = 1200 * time.Millisecond
 
-// EndOnSilence makes a connection fail once its peer has acknowledged nothing for a time. On
-// connections other than TCP it does nothing. A system that refuses leaves the connection to
-// the time-outs of its reads and writes.
+// EndOnSilence sets TCP_USER_TIMEOUT, so that a connection fails once sent bytes have stayed
+// unacknowledged for the given time. It has no effect on connections other than TCP. If the
+// system rejects the option, the timeouts of reads and writes still apply.
 func EndOnSilence(connection net.Conn, after time.Duration) {
 	system, ok := connection.(syscall.Conn)
 	if !ok {
--- a/internal/wire/silence_test.go
+++ b/internal/wire/silence_test.go
@@ -8,9 +8,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestConnectionsEndOnSilence: both sides of a connection between our processes have the
-// time-out set, since the loopback interface cannot lose packets. Nothing was set, so that
-// a silent connection held what was sent until the kernel gave up after many minutes.
+// TestConnectionsEndOnSilence checks the socket option itself, which NewConn sets on both
+// sides of a connection, since the loopback interface cannot lose packets. Without it,
+// a connection whose peer is gone keeps sent bytes until the kernel gives up after many minutes.
 func TestConnectionsEndOnSilence(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -34,6 +34,6 @@
 		t.Fatal(err)
 	}
 	if err != nil || time.Duration(set)*time.Millisecond != SilenceTimeout {
-		t.Errorf("the time-out is %d ms, %v", set, err)
+		t.Errorf("the timeout is %d ms, %v", set, err)
 	}
 }
