--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,8 +1,8 @@
-// Package clock gives the time to code that must also run under a virtual
-// clock. A reading of Clock counts the time in which the machine is suspended:
-// whatever another machine may count on, such as a lease, a deadline or the age of
-// a table, is measured by it. time.Time and timers are for waits alone, since they
-// stand still while the machine is suspended.
+// Package clock provides the current time to code that must also run under a
+// virtual clock. Clock includes the time in which the machine is suspended, so
+// anything that another machine may rely on, such as a lease, a deadline or the age
+// of a table, is measured with it. time.Time and timers are only for waiting,
+// because they stop while the machine is suspended.
 package clock
 
 import (
@@ -11,19 +11,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock reads a clock that never goes back, and goes on while the process is
-// frozen or its machine is suspended.
+// Clock is a monotonic clock that keeps running while the process is frozen or its
+// machine is suspended.
 type Clock interface {
 	// Now returns the time since a fixed origin of this process.
 	Now() time.Duration
 }
 
-// System is the machine's CLOCK_BOOTTIME.
+// System is a Clock that reads the machine's CLOCK_BOOTTIME.
 type System struct {
 	origin time.Duration
 }
 
-// NewSystem returns a clock whose origin is the moment of the call.
+// NewSystem returns a clock whose origin is the time of the call.
 func NewSystem() *System {
 	return &System{origin: BootTime()}
 }
@@ -33,7 +33,7 @@
 	return BootTime() - s.origin
 }
 
-// BootTime returns the time since the machine started, its suspensions included.
+// BootTime returns the time since the machine booted, including time spent suspended.
 func BootTime() time.Duration {
 	var reading unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &reading); err != nil {
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -7,10 +7,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestReadingsAreOfTheClockThatCountsSuspensions guards against CLOCK_MONOTONIC, which
-// stands still while the machine is suspended. The two differ on machines that were.
+// TestReadingsAreOfTheClockThatCountsSuspensions guards against reading CLOCK_MONOTONIC,
+// which stops while the machine is suspended. The two clocks differ only on a machine that has been suspended.
 func TestReadingsAreOfTheClockThatCountsSuspensions(t *testing.T) {
-	read := func() time.Duration {
+	readBootTime := func() time.Duration {
 		var reading unix.Timespec
 		if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &reading); err != nil {
 			t.Fatal(err)
@@ -18,13 +18,13 @@
 		return time.Duration(reading.Nano())
 	}
 	sinceBoot := &System{}
-	before := read()
+	before := readBootTime()
 	now := sinceBoot.Now()
-	after := read()
+	after := readBootTime()
 	if now < before || now > after {
-		t.Errorf("the clock shows %s, CLOCK_BOOTTIME %s before and %s after", now, before, after)
+		t.Errorf("the clock reads %s, want a value between CLOCK_BOOTTIME before (%s) and after (%s)", now, before, after)
 	}
 	if first := NewSystem().Now(); first < 0 || first > time.Minute {
-		t.Errorf("a new clock shows %s", first)
+		t.Errorf("a new clock reads %s, want a value near zero", first)
 	}
 }
--- a/internal/clock/every.go
+++ b/internal/clock/every.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Every calls step at each interval of the process's clock until the context
-// ends. A step that takes longer than the interval delays the next one; steps that
-// fell due meanwhile are left out. The first step comes after one interval.
-func Every(ctx context.Context, interval time.Duration, step func()) {
+// Every calls run once per interval, measured by the runtime's monotonic clock, until
+// the context is done. A call that takes longer than the interval delays the next one, and
+// calls that became due in the meantime are skipped. The first call comes after one interval.
+func Every(ctx context.Context, interval time.Duration, run func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
@@ -16,7 +16,7 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			step()
+			run()
 		}
 	}
 }
--- a/internal/clock/every_test.go
+++ b/internal/clock/every_test.go
@@ -9,19 +9,19 @@
 func TestEveryStepsUntilTheContextEnds(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	const wanted = 3
-	steps := 0
+	calls := 0
 	Every(ctx, time.Millisecond, func() {
-		steps++
-		if steps == wanted {
+		calls++
+		if calls == wanted {
 			cancel()
 		}
 	})
-	if steps < wanted {
-		t.Errorf("ended after %d steps, want %d", steps, wanted)
+	if calls < wanted {
+		t.Errorf("ended after %d calls, want %d", calls, wanted)
 	}
-	steps = 0
-	Every(ctx, time.Hour, func() { steps++ })
-	if steps != 0 {
-		t.Errorf("%d steps before the first interval", steps)
+	calls = 0
+	Every(ctx, time.Hour, func() { calls++ })
+	if calls != 0 {
+		t.Errorf("%d calls before the first interval elapsed", calls)
 	}
 }
--- a/internal/clock/sleep.go
+++ b/internal/clock/sleep.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Sleep waits for a duration or until the context ends.
+// Sleep waits for the duration or until the context is done.
 func Sleep(ctx context.Context, duration time.Duration) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
--- a/internal/clock/suspension.go
+++ b/internal/clock/suspension.go
@@ -6,43 +6,43 @@
 )
 
 const (
-	// suspensionLook is the time between two looks whether the machine was suspended.
-	suspensionLook = time.Second
-	// shortestSuspension is the shortest one that is told: the two clocks are read one after
-	// the other, and a process may be held up in between.
-	shortestSuspension = 50 * time.Millisecond
+	// suspensionCheckInterval is the time between two checks for a suspension of the machine.
+	suspensionCheckInterval = time.Second
+	// minReportedSuspension is the shortest suspension that is reported. The two clocks are read one
+	// after the other, so a delay of the process between the readings also makes them differ.
+	minReportedSuspension = 50 * time.Millisecond
 )
 
-// WatchSuspensions calls found with the length of each suspension of the machine, within a second
-// after its end, until the context ends.
-func WatchSuspensions(ctx context.Context, found func(time.Duration)) {
+// WatchSuspensions calls onSuspension with the length of each suspension of the machine, within a
+// second after its end, until the context is done.
+func WatchSuspensions(ctx context.Context, onSuspension func(time.Duration)) {
 	started := time.Now()
 	detector := newSuspensionDetector(BootTime(), 0)
-	Every(ctx, suspensionLook, func() {
-		awake := time.Since(started)
-		if slept := detector.look(BootTime(), awake); slept > 0 {
-			found(slept)
+	Every(ctx, suspensionCheckInterval, func() {
+		awakeTime := time.Since(started)
+		if suspended := detector.check(BootTime(), awakeTime); suspended > 0 {
+			onSuspension(suspended)
 		}
 	})
 }
 
-// suspensionDetector compares a clock that counts suspensions with one that does not.
+// suspensionDetector compares a clock that includes suspensions with one that does not.
 type suspensionDetector struct {
-	// ahead is by how much the first one was ahead of the other at the last look.
-	ahead time.Duration
+	// offset is the boot time minus the awake time, up to date with the suspensions already reported.
+	offset time.Duration
 }
 
-func newSuspensionDetector(counting, awake time.Duration) *suspensionDetector {
-	return &suspensionDetector{ahead: counting - awake}
+func newSuspensionDetector(bootTime, awakeTime time.Duration) *suspensionDetector {
+	return &suspensionDetector{offset: bootTime - awakeTime}
 }
 
-// look takes readings of both clocks, and returns for how long the machine was suspended since the
-// last look; zero if it was not.
-func (d *suspensionDetector) look(counting, awake time.Duration) time.Duration {
-	slept := counting - awake - d.ahead
-	if slept < shortestSuspension {
+// check takes a reading of each clock and returns how long the machine was suspended since the last
+// reported suspension, or zero if that is less than minReportedSuspension.
+func (d *suspensionDetector) check(bootTime, awakeTime time.Duration) time.Duration {
+	suspended := bootTime - awakeTime - d.offset
+	if suspended < minReportedSuspension {
 		return 0
 	}
-	d.ahead += slept
-	return slept
+	d.offset += suspended
+	return suspended
 }
