--- a/internal/broadcast/broadcast.go
+++ b/internal/broadcast/broadcast.go
@@ -3,24 +3,24 @@
 
 import "sync"
 
-// Broadcast is safe for concurrent use.
+// Broadcast notifies waiting goroutines of changes. It is safe for concurrent use.
 type Broadcast struct {
 	mutex   sync.Mutex
 	changed chan struct{}
 }
 
-// New returns a broadcast that has told of nothing yet.
+// New returns a Broadcast on which no change has been raised yet.
 func New() *Broadcast { return &Broadcast{changed: make(chan struct{})} }
 
-// Next returns a channel that is closed at the next change. It must be taken before
-// what may change is read, so that no change is missed.
+// Next returns a channel that is closed at the next change. Call it before
+// reading the data that may change; otherwise a change in between is missed.
 func (b *Broadcast) Next() <-chan struct{} {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.changed
 }
 
-// Raise tells of a change.
+// Raise wakes every goroutine that waits on a channel returned by Next.
 func (b *Broadcast) Raise() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/internal/broadcast/broadcast_test.go
+++ b/internal/broadcast/broadcast_test.go
@@ -10,7 +10,7 @@
 	<-second
 	select {
 	case <-b.Next():
-		t.Error("one that came later is woken by an earlier change")
+		t.Error("a channel taken after a change was closed by that change")
 	default:
 	}
 }
