--- a/internal/checkedfile/checkedfile.go
+++ b/internal/checkedfile/checkedfile.go
@@ -12,8 +12,8 @@
 	"github.com/thorntiller/thorntiller/internal/vfs"
 )
 
-// A file is: magic | length of the payload uint64 | CRC-32C of the payload
-// uint32 | payload. Integers are big-endian.
+// File format: magic | payload length (uint64) | CRC-32C of the payload (uint32) |
+// payload. Integers are big-endian.
 const (
 	magic       = "thorntiller/1\n"
 	lengthBytes = 8
@@ -22,7 +22,7 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// DamageError says that a file does not hold what was written.
+// DamageError reports that the content of a file is not what was written to it.
 type DamageError struct {
 	// File is the file's path.
 	File string
@@ -37,8 +37,8 @@
 	return fmt.Sprintf("file %s is damaged: %s; remedy: %s", e.File, e.Reason, e.Remedy)
 }
 
-// Write replaces the file at path by value and returns once it is on stable
-// storage.
+// Write atomically replaces the content of the file at path with value, and returns
+// once it is on stable storage.
 func Write[T any](fileSystem vfs.FileSystem, path string, value *T) error {
 	var buffer bytes.Buffer
 	buffer.Write(make([]byte, headerBytes))
@@ -53,27 +53,27 @@
 	return vfs.WriteFileAtomic(fileSystem, path, data)
 }
 
-// Read returns the value of the file at path. It returns a DamageError with the
+// Read returns the value stored in the file at path. It returns a DamageError with the
 // given remedy if the file is damaged, and an error that satisfies
-// errors.Is(err, fs.ErrNotExist) if there is none.
+// errors.Is(err, fs.ErrNotExist) if there is no file.
 func Read[T any](fileSystem vfs.FileSystem, path, remedy string) (T, error) {
 	var value T
 	data, err := vfs.ReadFile(fileSystem, path)
 	if err != nil {
 		return value, err
 	}
-	if reason := check(data); reason != "" {
+	if reason := describeDamage(data); reason != "" {
 		return value, &DamageError{File: path, Reason: reason, Remedy: remedy}
 	}
 	if err := msgpack.Unmarshal(data[headerBytes:], &value); err != nil {
-		var none T
-		return none, &DamageError{File: path, Reason: "content cannot be decoded: " + err.Error(), Remedy: remedy}
+		var zero T
+		return zero, &DamageError{File: path, Reason: "content cannot be decoded: " + err.Error(), Remedy: remedy}
 	}
 	return value, nil
 }
 
-// check returns what is wrong with a file's content; empty if nothing is.
-func check(data []byte) string {
+// describeDamage returns a description of the damage in a file's content, or "" if it is intact.
+func describeDamage(data []byte) string {
 	if len(data) < headerBytes {
 		return fmt.Sprintf("it is %d bytes long, less than its header of %d", len(data), headerBytes)
 	}
--- a/internal/checkedfile/doc.go
+++ b/internal/checkedfile/doc.go
@@ -1,4 +1,4 @@
 // Package checkedfile stores one msgpack value in one file, written atomically
-// and guarded by a CRC-32C checksum, so that a reader gets the whole value or
-// an error that names the file.
+// and protected by a CRC-32C checksum, so that a reader gets either the whole value
+// or an error that names the file.
 package checkedfile
