--- a/internal/identity/identity.go
+++ b/internal/identity/identity.go
@@ -20,7 +20,7 @@
 		"joins the group again as a new replica"
 )
 
-// Identity says who a replica is.
+// Identity is the stored identity of a replica.
 type Identity struct {
 	Replica consensus.ReplicaID
 	// Cluster is empty while the replica belongs to no group.
@@ -28,21 +28,21 @@
 	// Founders are the group's members at log index 0.
 	Founders []consensus.Member
 	// MayFound is true for a replica that first started together with the whole
-	// system, so that it may form a group. One that starts with an empty disk later
-	// must find the group that there is.
+	// system, so that it may form a group. A replica that starts with an empty disk later
+	// must find the existing group.
 	MayFound bool `msgpack:",omitempty"`
 }
 
-// Load returns the identity stored in a data folder; false if there is none.
+// Load returns the identity stored in a data folder, or false if there is none.
 func Load(fileSystem vfs.FileSystem, directory string) (Identity, bool, error) {
-	found, err := checkedfile.Read[Identity](fileSystem, filepath.Join(directory, fileName), remedy)
+	loaded, err := checkedfile.Read[Identity](fileSystem, filepath.Join(directory, fileName), remedy)
 	if errors.Is(err, fs.ErrNotExist) {
 		return Identity{}, false, nil
 	}
 	if err != nil {
 		return Identity{}, false, eris.Wrap(err, "load the replica's identity")
 	}
-	return found, true, nil
+	return loaded, true, nil
 }
 
 // Save stores an identity in a data folder, which is created if missing, and
--- a/internal/identity/identity_test.go
+++ b/internal/identity/identity_test.go
@@ -19,7 +19,7 @@
 		t.Errorf("load before the first save: %v, %v", found, err)
 	}
 	if err := Save(disk, "/data", Identity{Cluster: "c"}); err == nil {
-		t.Error("an identity without a replica was saved")
+		t.Error("an identity without a replica identifier was saved")
 	}
 	if err := Save(disk, "/data", want); err != nil {
 		t.Fatal(err)
@@ -34,11 +34,11 @@
 		t.Fatal(err)
 	}
 	for bit := range size * 8 {
-		flipped := disk.FlipBit(path, bit)
+		flipErr := disk.FlipBit(path, bit)
 		_, _, err := Load(disk, "/data")
 		var damage *checkedfile.DamageError
-		if flipped != nil || !errors.As(err, &damage) || damage.File != path {
-			t.Errorf("bit %d flipped: %v, %v", bit, flipped, err)
+		if flipErr != nil || !errors.As(err, &damage) || damage.File != path {
+			t.Errorf("bit %d flipped: %v, %v", bit, flipErr, err)
 		}
 		if err := disk.FlipBit(path, bit); err != nil {
 			t.Fatal(err)
@@ -62,11 +62,11 @@
 	if err := first.Close(); err != nil {
 		t.Fatal(err)
 	}
-	again, err := Lock(directory)
+	second, err := Lock(directory)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := again.Close(); err != nil {
+	if err := second.Close(); err != nil {
 		t.Fatal(err)
 	}
 }
