--- a/internal/codec/codec.go
+++ b/internal/codec/codec.go
@@ -1,6 +1,6 @@
-// Package codec encodes this project's own types as msgpack, the same way on
-// the wire and on disk: structs as maps by field name, so that a newer process
-// may add fields, and integers in as few bytes as they need.
+// Package codec encodes this project's own types as msgpack, identically on the
+// wire and on disk: structs as maps keyed by field name, so that a newer version
+// may add fields, and integers in the fewest bytes that hold them.
 package codec
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Append encodes a value to the end of the buffer.
+// Append encodes value and appends the result to buffer.
 func Append(buffer *bytes.Buffer, value any) error {
 	encoder := msgpack.GetEncoder()
 	defer msgpack.PutEncoder(encoder)
@@ -19,7 +19,7 @@
 	return eris.Wrapf(encoder.Encode(value), "encode %T", value)
 }
 
-// Marshal returns the encoded value.
+// Marshal returns the encoding of value.
 func Marshal(value any) ([]byte, error) {
 	var buffer bytes.Buffer
 	if err := Append(&buffer, value); err != nil {
@@ -28,7 +28,7 @@
 	return buffer.Bytes(), nil
 }
 
-// Unmarshal decodes into value, a pointer.
+// Unmarshal decodes encoded into value, which must be a pointer.
 func Unmarshal(encoded []byte, value any) error {
 	return eris.Wrapf(msgpack.Unmarshal(encoded, value), "decode %T", value)
 }
