--- a/internal/certificate/doc.go
+++ b/internal/certificate/doc.go
@@ -1,5 +1,5 @@
-// Package certificate keeps a process's TLS certificate and the authority that
-// it trusts, read from files and read again when the files change. Connections
-// between this project's processes and to the intent API are authenticated in
-// both directions: each side presents a certificate of the same authority.
+// Package certificate holds a process's TLS certificate and the certificate authority
+// that it trusts. Both are loaded from files and reloaded when the files change.
+// Connections between this project's processes and to the intent API use mutual TLS:
+// each side presents a certificate signed by the same authority.
 package certificate
--- a/internal/certificate/store.go
+++ b/internal/certificate/store.go
@@ -17,41 +17,42 @@
 	"github.com/thorntiller/thorntiller/internal/telemetry"
 )
 
-// Files are the paths of PEM files.
+// Files holds the paths of the PEM files of one process.
 type Files struct {
-	// Certificate holds the process's certificate and its chain.
+	// Certificate is the file with the process's certificate and its chain.
 	Certificate string
-	// Key holds the certificate's private key.
+	// Key is the file with the certificate's private key.
 	Key string
-	// Authority holds the certificates that sign the peers' certificates.
+	// Authority is the file with the CA certificates that sign the peers' certificates.
 	Authority string
 }
 
-// Empty reports whether no file is named, which stands for plain text.
+// Empty reports whether no file is configured, which means connections without TLS.
 func (f Files) Empty() bool {
 	return f == Files{}
 }
 
-// material is one consistent reading of the files.
-type material struct {
+// credentials is the result of one load of the files. The versions are taken before the files
+// are read, so that a change during the load is found by the next Refresh.
+type credentials struct {
 	certificate tls.Certificate
 	authority   *x509.CertPool
-	read        [3]fileVersion
+	versions    [3]fileVersion
 }
 
-// fileVersion tells whether a file changed.
+// fileVersion is compared to detect a change of a file.
 type fileVersion struct {
 	modified time.Time
 	size     int64
 }
 
-// Store holds the newest readable material. It is safe for concurrent use.
+// Store holds the credentials of the last successful load. It is safe for concurrent use.
 type Store struct {
 	files   Files
-	current atomic.Pointer[material]
+	current atomic.Pointer[credentials]
 }
 
-// Open reads the files. The error names the file that cannot be used.
+// Open loads the files. The error names the file that cannot be used.
 func Open(files Files) (*Store, error) {
 	store := &Store{files: files}
 	loaded, err := store.load()
@@ -62,18 +63,18 @@
 	return store, nil
 }
 
-func (s *Store) load() (*material, error) {
-	loaded := &material{read: s.versions()}
+func (s *Store) load() (*credentials, error) {
+	loaded := &credentials{versions: s.versions()}
 	var err error
 	if loaded.certificate, err = tls.LoadX509KeyPair(s.files.Certificate, s.files.Key); err != nil {
 		return nil, eris.Wrapf(err, "certificate %q with key %q", s.files.Certificate, s.files.Key)
 	}
-	encoded, err := os.ReadFile(s.files.Authority)
+	authorityPEM, err := os.ReadFile(s.files.Authority)
 	if err != nil {
 		return nil, eris.Wrapf(err, "authority %q", s.files.Authority)
 	}
 	loaded.authority = x509.NewCertPool()
-	if !loaded.authority.AppendCertsFromPEM(encoded) {
+	if !loaded.authority.AppendCertsFromPEM(authorityPEM) {
 		return nil, eris.Errorf("authority %q holds no certificate in PEM form", s.files.Authority)
 	}
 	return loaded, nil
@@ -81,19 +82,19 @@
 
 func (s *Store) versions() [3]fileVersion {
 	var versions [3]fileVersion
-	for position, path := range []string{s.files.Certificate, s.files.Key, s.files.Authority} {
+	for i, path := range []string{s.files.Certificate, s.files.Key, s.files.Authority} {
 		if info, err := os.Stat(path); err == nil {
-			versions[position] = fileVersion{modified: info.ModTime(), size: info.Size()}
+			versions[i] = fileVersion{modified: info.ModTime(), size: info.Size()}
 		}
 	}
 	return versions
 }
 
-// Refresh reads the files again if one of them changed, and reports whether the
-// material is new. After an error the earlier material stays in use: a
-// certificate and its key are often replaced one after the other.
+// Refresh reloads the files if one of them changed, and reports whether it did.
+// After an error the previous credentials stay in use, because a certificate and its
+// key are often replaced one after the other.
 func (s *Store) Refresh() (bool, error) {
-	if s.versions() == s.current.Load().read {
+	if s.versions() == s.current.Load().versions {
 		return false, nil
 	}
 	loaded, err := s.load()
@@ -104,8 +105,8 @@
 	return true, nil
 }
 
-// OpenIfNamed reads the files, or returns nil, which stands for plain text, if
-// none is named.
+// OpenIfNamed loads the files. If none is configured it returns a nil Store, which means
+// connections without TLS.
 func OpenIfNamed(files Files) (*Store, error) {
 	if files.Empty() {
 		return nil, nil
@@ -114,8 +115,8 @@
 	return store, eris.Wrap(err, "tls")
 }
 
-// Watch refreshes at each interval until the context ends, and logs what came
-// of it. A nil store returns at once.
+// Watch calls Refresh once per interval until the context is done, and logs reloads and
+// errors. On a nil Store it returns immediately.
 func (s *Store) Watch(ctx context.Context, interval time.Duration, log *logrus.Entry) {
 	if s == nil {
 		return
@@ -124,17 +125,18 @@
 }
 
 func (s *Store) refreshAndLog(log *logrus.Entry) {
-	renewed, err := s.Refresh()
+	reloaded, err := s.Refresh()
 	switch {
 	case err != nil:
-		telemetry.WithError(log, telemetry.EventCertificateFailed, err).Warn("the certificate files changed but cannot be used")
-	case renewed:
-		telemetry.With(log, telemetry.EventCertificateRenewed).Info("certificates read again")
+		telemetry.WithError(log, telemetry.EventCertificateFailed, err).Warn("cannot load the changed certificate files")
+	case reloaded:
+		telemetry.With(log, telemetry.EventCertificateRenewed).Info("certificates reloaded")
 	}
 }
 
-// Listener accepts TLS connections whose peers present a certificate of the
-// authority. Connections that stand keep the material that they began with.
+// Listener returns a listener that accepts TLS connections whose peers present a
+// certificate signed by the authority. Established connections keep the credentials that
+// they were opened with.
 func (s *Store) Listener(inner net.Listener) net.Listener {
 	return tls.NewListener(inner, &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -150,9 +152,10 @@
 	})
 }
 
-// ClientConfig returns the settings for connections to one host, which must
-// present a certificate of the authority for that host. It holds the material
-// of the moment, so ask for it anew for each connection.
+// ClientConfig returns the TLS configuration for a connection to one host, which must
+// present a certificate that is signed by the authority and valid for that host. The
+// configuration holds the current credentials and is not updated by Refresh, so call
+// ClientConfig for each new connection.
 func (s *Store) ClientConfig(host string) *tls.Config {
 	newest := s.current.Load()
 	return &tls.Config{
@@ -163,7 +166,7 @@
 	}
 }
 
-// Dial opens a TLS connection to an address, IP:port, and completes the
+// Dial opens a TLS connection to an address of the form IP:port and completes the
 // handshake.
 func (s *Store) Dial(ctx context.Context, address string) (net.Conn, error) {
 	host, _, err := net.SplitHostPort(address)
@@ -175,27 +178,28 @@
 	return connection, eris.Wrapf(err, "connect to %s by TLS", address)
 }
 
-// PeerName returns the common name of the certificate that the peer of a TLS
-// connection presented, or false for a plain connection or before the handshake.
+// PeerName returns the common name of the certificate that the peer of a TLS connection
+// presented, or false for a connection without TLS or before the handshake.
 func PeerName(connection net.Conn) (string, bool) {
-	subject, known := peerSubject(connection)
-	return subject.CommonName, known
+	subject, present := peerSubject(connection)
+	return subject.CommonName, present
 }
 
-// PeerUnits returns the organizational units of that certificate; none where PeerName knows no name.
+// PeerUnits returns the organizational units of the peer's certificate. It returns none
+// where PeerName returns false.
 func PeerUnits(connection net.Conn) []string {
 	subject, _ := peerSubject(connection)
 	return subject.OrganizationalUnit
 }
 
 func peerSubject(connection net.Conn) (pkix.Name, bool) {
-	secured, isTLS := connection.(*tls.Conn)
+	tlsConnection, isTLS := connection.(*tls.Conn)
 	if !isTLS {
 		return pkix.Name{}, false
 	}
-	presented := secured.ConnectionState().PeerCertificates
-	if len(presented) == 0 {
+	certificates := tlsConnection.ConnectionState().PeerCertificates
+	if len(certificates) == 0 {
 		return pkix.Name{}, false
 	}
-	return presented[0].Subject, true
+	return certificates[0].Subject, true
 }
--- a/internal/certificate/store_test.go
+++ b/internal/certificate/store_test.go
@@ -40,7 +40,7 @@
 	return signer
 }
 
-// connect opens one connection and returns the names that the two sides saw.
+// connect opens one connection and returns the name that the server read from the client's certificate.
 func connect(t *testing.T, server, client *certificate.Store) (peer string, err error) {
 	t.Helper()
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
@@ -57,12 +57,12 @@
 			return
 		}
 		defer func() { _ = accepted.Close() }()
-		greeting := make([]byte, 1)
-		if _, err := accepted.Read(greeting); err != nil {
+		data := make([]byte, 1)
+		if _, err := accepted.Read(data); err != nil {
 			return
 		}
 		peer, _ = certificate.PeerName(accepted)
-		_, _ = accepted.Write(greeting)
+		_, _ = accepted.Write(data)
 	})
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
@@ -87,13 +87,13 @@
 	if peer, err := connect(t, server, open(t, issue(t, ours, "router-1"))); err != nil || peer != "router-1" {
 		t.Fatalf("a certificate of the authority: peer %q, error %v", peer, err)
 	}
-	foreign := issue(t, theirs, "router-1")
-	foreign.Authority = issue(t, ours, "other").Authority
-	if _, err := connect(t, server, open(t, foreign)); err == nil {
-		t.Error("the server took a certificate of another authority")
+	untrusted := issue(t, theirs, "router-1")
+	untrusted.Authority = issue(t, ours, "other").Authority
+	if _, err := connect(t, server, open(t, untrusted)); err == nil {
+		t.Error("the server accepted a client certificate of another authority")
 	}
-	if _, err := connect(t, open(t, foreign), open(t, issue(t, ours, "router-1"))); err == nil {
-		t.Error("the client took a server of another authority")
+	if _, err := connect(t, open(t, untrusted), open(t, issue(t, ours, "router-1"))); err == nil {
+		t.Error("the client accepted a server certificate of another authority")
 	}
 }
 
@@ -102,14 +102,14 @@
 	files := issue(t, signer, "router-1")
 	store := open(t, files)
 	server := open(t, issue(t, signer, "controller-1"))
-	if renewed, err := store.Refresh(); renewed || err != nil {
-		t.Fatalf("unchanged files: renewed %v, error %v", renewed, err)
+	if reloaded, err := store.Refresh(); reloaded || err != nil {
+		t.Fatalf("unchanged files: reloaded %v, error %v", reloaded, err)
 	}
 	if err := os.WriteFile(files.Certificate, []byte("half of a certi"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if renewed, err := store.Refresh(); renewed || err == nil {
-		t.Fatalf("damaged file: renewed %v, error %v", renewed, err)
+	if reloaded, err := store.Refresh(); reloaded || err == nil {
+		t.Fatalf("damaged file: reloaded %v, error %v", reloaded, err)
 	}
 	if peer, err := connect(t, server, store); err != nil || peer != "router-1" {
 		t.Fatalf("the earlier certificate is not in use: peer %q, error %v", peer, err)
@@ -120,8 +120,8 @@
 			t.Fatal(err)
 		}
 	}
-	if renewed, err := store.Refresh(); !renewed || err != nil {
-		t.Fatalf("replaced files: renewed %v, error %v", renewed, err)
+	if reloaded, err := store.Refresh(); !reloaded || err != nil {
+		t.Fatalf("replaced files: reloaded %v, error %v", reloaded, err)
 	}
 	if peer, err := connect(t, server, store); err != nil || peer != "router-2" {
 		t.Errorf("the new certificate is not in use: peer %q, error %v", peer, err)
