--- a/internal/durable/formation.go
+++ b/internal/durable/formation.go
@@ -9,22 +9,22 @@
 	"github.com/thorntiller/thorntiller/internal/message"
 )
 
-// Formation is what a replica without a group knows when it has asked the other
-// configured controllers.
+// Formation is what a replica that belongs to no group knows after it has queried the
+// other configured controllers.
 type Formation struct {
 	Own    identity.Identity
 	Member consensus.Member
-	// First is true for the first controller by name, which alone forms groups.
+	// First is true for the controller whose name sorts first. Only that one may form a group.
 	First bool
-	// Others counts the other configured controllers, Answers has those of them
-	// that answered.
+	// Others is the number of other configured controllers, and Answers holds the
+	// answers of those that replied.
 	Others  int
 	Answers []message.FormationAnswer
 }
 
-// Decide returns the identity that the replica takes, or false if it has to ask
-// again. A replica joins a group that any controller belongs to; a new group
-// forms only when every configured controller answers and none belongs to one.
+// Decide returns the identity that the replica adopts, or false if it has to query the
+// controllers again. If any controller belongs to a group, the replica joins it. A new
+// group is formed only when every configured controller answers and none belongs to one.
 func (f Formation) Decide(newCluster func() message.ClusterID) (identity.Identity, bool) {
 	for _, answer := range f.Answers {
 		if answer.Cluster != "" {
@@ -34,11 +34,11 @@
 	if len(f.Answers) < f.Others || !f.First {
 		return f.Own, false
 	}
-	return f.found(newCluster()), true
+	return f.formCluster(newCluster()), true
 }
 
-// found forms a new group of all controllers.
-func (f Formation) found(cluster message.ClusterID) identity.Identity {
+// formCluster returns the identity of a founder of a new group of all configured controllers.
+func (f Formation) formCluster(cluster message.ClusterID) identity.Identity {
 	formed := f.Own
 	formed.Cluster = cluster
 	formed.Founders = []consensus.Member{f.Member}
--- a/internal/durable/formation_test.go
+++ b/internal/durable/formation_test.go
@@ -9,8 +9,9 @@
 	"github.com/thorntiller/thorntiller/internal/message"
 )
 
-// TestDecideFormation: a group forms once, and only when all answer; whoever
-// meets a group joins it under the identifier that it has.
+// TestDecideFormation checks that a group is formed only by the first controller and only when all
+// answer, and that a replica that learns of an existing group joins it under its own identifier
+// instead of forming a second one.
 func TestDecideFormation(t *testing.T) {
 	free := message.FormationAnswer{Member: consensus.Member{ID: 1}}
 	other := message.FormationAnswer{Member: consensus.Member{ID: 3}}
@@ -30,13 +31,13 @@
 		formation := Formation{
 			Own: identity.Identity{Replica: 2}, Member: consensus.Member{ID: 2}, First: c.first, Others: 2, Answers: c.answers,
 		}
-		next, decided := formation.Decide(func() message.ClusterID { return "new" })
+		got, decided := formation.Decide(func() message.ClusterID { return "new" })
 		var founders []consensus.ReplicaID
-		for _, founder := range next.Founders {
+		for _, founder := range got.Founders {
 			founders = append(founders, founder.ID)
 		}
-		if decided != (c.cluster != "") || next.Cluster != c.cluster || next.Replica != 2 || !slices.Equal(founders, c.founders) {
-			t.Errorf("%s: decided %v on %+v", name, decided, next)
+		if decided != (c.cluster != "") || got.Cluster != c.cluster || got.Replica != 2 || !slices.Equal(founders, c.founders) {
+			t.Errorf("%s: decided %v, identity %+v", name, decided, got)
 		}
 	}
 }
--- a/internal/durable/identity_test.go
+++ b/internal/durable/identity_test.go
@@ -9,8 +9,8 @@
 	"github.com/thorntiller/thorntiller/internal/vfs"
 )
 
-// TestJoinedReplicaStartsAgain: a replica that joins with the whole log needs
-// the membership at index 0 when it starts on that log again.
+// TestJoinedReplicaStartsAgain guards against a replica that joins a group, receives the log from
+// its beginning and cannot restart on that log because the membership at index 0 was not stored.
 func TestJoinedReplicaStartsAgain(t *testing.T) {
 	disk := vfs.NewMemory(nil)
 	self, err := LoadIdentity(disk, "/data", false, func() consensus.ReplicaID { return 7 })
@@ -34,7 +34,7 @@
 			t.Fatalf("the joined replica does not start: %v", err)
 		}
 		if members := core.Status().Membership.Members; len(members) != len(founders) {
-			t.Fatalf("it starts with %d members at index 0", len(members))
+			t.Fatalf("it starts with %d members at index 0, want the founders", len(members))
 		}
 		entry := consensus.Entry{Index: 1, Term: 1}
 		if err := storage.Log.Save(&consensus.HardState{Term: 1}, []consensus.Entry{entry}); err != nil {
--- a/internal/durable/storage.go
+++ b/internal/durable/storage.go
@@ -13,7 +13,7 @@
 	"github.com/thorntiller/thorntiller/internal/wal"
 )
 
-// Folders below the data folder.
+// Subfolders of the data folder.
 const (
 	logFolder      = "wal"
 	snapshotFolder = "snapshots"
@@ -21,32 +21,33 @@
 
 // Options configures Open.
 type Options struct {
-	// SegmentBytes is the size at which the log begins a new segment; zero means
+	// SegmentBytes is the size at which the log starts a new segment; zero means
 	// wal.DefaultSegmentBytes.
 	SegmentBytes int64
 }
 
-// Storage is the replica's durable state: log and snapshots. One goroutine
-// drives it.
+// Storage is the replica's durable state: log and snapshots. It must be used by a single
+// goroutine, except as BeginSnapshot describes.
 type Storage struct {
 	// Log is the open write-ahead log.
 	Log *wal.Log
-	// Snapshots holds the newest snapshots.
+	// Snapshots stores the newest snapshots.
 	Snapshots *snapshot.Store
-	// Initial and State are what the data folder held at start.
+	// Initial and State are what Open read from the data folder.
 	Initial consensus.InitialState
 	State   *state.State
 
 	newest *consensus.Snapshot
-	// appliedTerm, appliedEntries and appliedBytes count since the newest
-	// snapshot.
+	// appliedTerm is the term of the last applied entry, or of the snapshot that was loaded
+	// or received after it. appliedEntries and appliedBytes count what was applied since
+	// the last BeginSnapshot.
 	appliedTerm    uint64
 	appliedEntries int
 	appliedBytes   int
 }
 
-// CreateLog starts the log of a replica that has no identity yet. The identity
-// is saved after it, so that an identity without a log is known as damage.
+// CreateLog creates the log of a replica that has no identity yet. The identity is saved
+// afterwards, so that an identity without a log can be recognized as damage.
 func CreateLog(files vfs.FileSystem, folder string) error {
 	log, _, err := wal.Open(files, filepath.Join(folder, logFolder), wal.Options{})
 	if err != nil {
@@ -55,31 +56,31 @@
 	return log.Close()
 }
 
-// Open reads the newest snapshot and the log after it. A founder without
-// a snapshot begins with the founders' membership at index 0.
+// Open reads the newest snapshot and the log after it. Without a snapshot, the replica
+// starts with the founders as the membership at index 0.
 func Open(files vfs.FileSystem, folder string, self identity.Identity, options Options) (*Storage, error) {
-	store, err := snapshot.Open(files, filepath.Join(folder, snapshotFolder))
+	snapshots, err := snapshot.Open(files, filepath.Join(folder, snapshotFolder))
 	if err != nil {
 		return nil, eris.Wrap(err, "open the snapshots")
 	}
-	disk := &Storage{Snapshots: store, State: state.New()}
-	disk.Initial.Snapshot.Membership = consensus.Membership{Members: self.Founders}
-	if err := disk.loadSnapshot(); err != nil {
+	storage := &Storage{Snapshots: snapshots, State: state.New()}
+	storage.Initial.Snapshot.Membership = consensus.Membership{Members: self.Founders}
+	if err := storage.loadSnapshot(); err != nil {
 		return nil, err
 	}
-	log, content, err := wal.Open(files, filepath.Join(folder, logFolder), wal.Options{
-		SnapshotIndex: disk.Initial.Snapshot.Index,
-		SnapshotTerm:  disk.Initial.Snapshot.Term,
+	log, recovered, err := wal.Open(files, filepath.Join(folder, logFolder), wal.Options{
+		SnapshotIndex: storage.Initial.Snapshot.Index,
+		SnapshotTerm:  storage.Initial.Snapshot.Term,
 		MustExist:     true,
 		SegmentBytes:  options.SegmentBytes,
 	})
 	if err != nil {
 		return nil, eris.Wrap(err, "open the log")
 	}
-	disk.Log = log
-	disk.Initial.HardState = content.HardState
-	disk.Initial.Entries = content.Entries
-	return disk, nil
+	storage.Log = log
+	storage.Initial.HardState = recovered.HardState
+	storage.Initial.Entries = recovered.Entries
+	return storage, nil
 }
 
 func (s *Storage) loadSnapshot() error {
@@ -106,8 +107,8 @@
 	return *s.newest, true
 }
 
-// SaveSnapshot makes a snapshot from the leader durable and tells the log of it,
-// which the snapshot may replace.
+// SaveSnapshot saves a snapshot received from the leader to stable storage and marks it in
+// the log, whose entries it may replace.
 func (s *Storage) SaveSnapshot(received consensus.Snapshot) error {
 	if err := s.Snapshots.Save(received); err != nil {
 		return eris.Wrap(err, "save a snapshot")
@@ -117,16 +118,16 @@
 	return s.AdoptSnapshot(received)
 }
 
-// BeginSnapshot starts to count anew towards the next snapshot. The snapshot of
-// this moment is then saved by Snapshots.Save, on any goroutine but only one at
-// a time, and taken into use by AdoptSnapshot.
+// BeginSnapshot resets the counters that decide when the next snapshot is due. The caller
+// then saves a snapshot of the state at this point with Snapshots.Save, on any goroutine but only
+// one at a time, and passes it to AdoptSnapshot.
 func (s *Storage) BeginSnapshot() {
 	s.appliedEntries = 0
 	s.appliedBytes = 0
 }
 
-// AdoptSnapshot tells the log of a snapshot that is on stable storage. One that
-// is older than the newest is left aside.
+// AdoptSnapshot marks a snapshot that is on stable storage in the log and makes it the
+// newest. It ignores a snapshot that is not newer than the current one.
 func (s *Storage) AdoptSnapshot(saved consensus.Snapshot) error {
 	if s.newest != nil && saved.Metadata.Index <= s.newest.Metadata.Index {
 		return nil
@@ -138,10 +139,10 @@
 	return nil
 }
 
-// Applied counts an applied entry towards the next snapshot. A membership change
-// is on stable storage as committed when it returns: a replica that knows that it
-// was removed still knows it after a crash, and asks for no votes. (The change is
-// in force with its entry, committed or not.)
+// Applied counts an applied entry towards the next snapshot. If the entry is a membership
+// change, its commit index is on stable storage when Applied returns, so that a replica
+// that knows that it was removed still knows it after a crash and requests no votes.
+// (The change takes effect with its entry, whether committed or not.)
 func (s *Storage) Applied(entry consensus.Entry) error {
 	s.appliedTerm = entry.Term
 	s.appliedEntries++
@@ -152,13 +153,13 @@
 	return eris.Wrap(s.Log.SyncCommit(entry.Index), "save that a membership change is committed")
 }
 
-// AppliedTerm returns the term of the newest applied entry.
+// AppliedTerm returns the term of the last applied entry.
 func (s *Storage) AppliedTerm() uint64 {
 	return s.appliedTerm
 }
 
-// SnapshotDue reports whether so many entries or bytes were applied since the
-// newest snapshot that the next one is due.
+// SnapshotDue reports whether at least the given number of entries or of bytes was applied
+// since the last BeginSnapshot.
 func (s *Storage) SnapshotDue(entries, bytes int) bool {
 	return s.appliedEntries >= entries || s.appliedBytes >= bytes
 }
--- a/internal/durable/storage_test.go
+++ b/internal/durable/storage_test.go
@@ -8,10 +8,10 @@
 	"github.com/thorntiller/thorntiller/internal/vfs"
 )
 
-// TestMembershipInForceOutlivesCrash: a replica that went by a membership goes
-// by it after a crash, from the entry in the log's tail alone, before and after it
-// knows that the change is committed. Else two voters that both crash after a
-// repair may wait for the vote of the machine that was lost since.
+// TestMembershipInForceOutlivesCrash checks that a replica that used a membership still uses it
+// after a crash, restored only from the entry in the log's tail, both before and after it knows that
+// the change is committed. Otherwise two voters that both crash after a repair may wait for the vote
+// of a machine that has been lost since.
 func TestMembershipInForceOutlivesCrash(t *testing.T) {
 	disk := vfs.NewMemory(nil)
 	self := identity.Identity{Replica: 1, Cluster: "group", Founders: []consensus.Member{{ID: 1}, {ID: 2}, {ID: 3}}}
@@ -41,12 +41,12 @@
 	disk.Crash()
 	storage = reopen(t, disk, self)
 	if commit := storage.Initial.HardState.Commit; commit != change.Index {
-		t.Errorf("after the crash the commit index is %d, a change at %d was in force", commit, change.Index)
+		t.Errorf("after the crash the commit index is %d, want %d of the membership change", commit, change.Index)
 	}
 }
 
-// reopen reads the data folder after a crash and checks that replica 3 is no
-// member of the group.
+// reopen reads the data folder after a crash and checks that replica 3 is not
+// a member of the group.
 func reopen(t *testing.T, disk vfs.FileSystem, self identity.Identity) *Storage {
 	t.Helper()
 	storage, err := Open(disk, "/data", self, Options{})
@@ -60,7 +60,7 @@
 		t.Fatal(err)
 	}
 	if members := core.Status().Membership.Members; len(members) != 2 {
-		t.Errorf("after the crash %d members are in force, replica 3 was removed", len(members))
+		t.Errorf("after the crash the membership has %d members, want 2 without the removed replica 3", len(members))
 	}
 	return storage
 }
