--- a/internal/snapshot/doc.go
+++ b/internal/snapshot/doc.go
@@ -3,7 +3,8 @@
 // checksum; the newest two are kept.
 //
 // A damaged snapshot is reported, and the newest intact one is loaded instead.
-// That is safe, since the write-ahead log refuses to open after a snapshot that
-// it does not reach back to. So the log may be released only up to the older of
-// the two snapshots if a fallback shall succeed; see Store.Oldest.
+// This fallback is safe because the write-ahead log fails to open if entries
+// are missing between the loaded snapshot and the start of the log. For the
+// fallback to succeed, the log may be compacted only up to the older of the two
+// snapshots; see Store.Oldest.
 package snapshot
--- a/internal/snapshot/store.go
+++ b/internal/snapshot/store.go
@@ -30,13 +30,13 @@
 
 	mutex   sync.Mutex
 	damaged []*checkedfile.DamageError
-	// indexes are those of the intact snapshots, ascending.
+	// indexes holds the log indexes of the intact snapshots in ascending order.
 	indexes []uint64
 }
 
-// Open prepares a store in a directory, which is created if missing. It removes
-// what a crash left incomplete and reads every snapshot once, to know which are
-// intact.
+// Open opens the store in a directory, which is created if missing. It removes
+// temporary files left by a crash and reads every snapshot once to determine
+// which are intact.
 func Open(fileSystem vfs.FileSystem, directory string) (*Store, error) {
 	if err := fileSystem.MkdirAll(directory); err != nil {
 		return nil, eris.Wrapf(err, "create %s", directory)
@@ -51,7 +51,7 @@
 	return store, nil
 }
 
-// scan sorts the files of the directory into intact and damaged ones.
+// scan reads every snapshot file in the directory and records it as intact or damaged.
 func (s *Store) scan() error {
 	names, err := s.fileSystem.ReadDir(s.directory)
 	if err != nil {
@@ -99,8 +99,8 @@
 	return newest, true, nil
 }
 
-// Damaged returns the damaged snapshots that Open found and that are still
-// there, for the log and the operator.
+// Damaged returns the damaged snapshots that Open found and that Save has not
+// replaced or deleted since, for logging and for the operator.
 func (s *Store) Damaged() []*checkedfile.DamageError {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -108,8 +108,8 @@
 }
 
 // Oldest returns the index of the oldest intact snapshot that is kept; zero if
-// there are fewer than two. Entries up to it can be released from the log while
-// a fallback to that snapshot stays possible.
+// there are fewer than two. The log can be compacted up to this index while
+// a fallback to that snapshot remains possible.
 func (s *Store) Oldest() uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -119,9 +119,9 @@
 	return s.indexes[0]
 }
 
-// Save stores a snapshot and returns once it is on stable storage; then it
-// deletes older ones, up to the newest two, and damaged ones. A snapshot that
-// is not newer than the newest intact one is ignored.
+// Save writes a snapshot to stable storage, then deletes damaged snapshots and
+// all intact ones but the newest two. A snapshot that is not newer than the
+// newest intact one is ignored.
 func (s *Store) Save(snapshot consensus.Snapshot) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -141,7 +141,7 @@
 	return s.prune()
 }
 
-// prune deletes what is no longer needed. The new snapshot is durable by then.
+// prune deletes superseded and damaged snapshots. It must run only after the new snapshot is durable.
 func (s *Store) prune() error {
 	for len(s.indexes) > keptSnapshots {
 		if err := s.remove(s.path(s.indexes[0])); err != nil {
--- a/internal/snapshot/store_test.go
+++ b/internal/snapshot/store_test.go
@@ -13,7 +13,7 @@
 
 const directory = "/data/snapshots"
 
-func at(index uint64) consensus.Snapshot {
+func snapshotAt(index uint64) consensus.Snapshot {
 	members := []consensus.Member{{ID: 1, Name: "one"}}
 	return consensus.Snapshot{
 		Metadata: consensus.SnapshotMetadata{Index: index, Term: 2, Membership: consensus.Membership{Members: members}},
@@ -22,7 +22,7 @@
 }
 
 // saveUntilCrash saves snapshots 1, 2, ... until the disk crashes and returns
-// the last acknowledged one.
+// the index of the last acknowledged one.
 func saveUntilCrash(t *testing.T, files vfs.FileSystem) uint64 {
 	t.Helper()
 	store, err := Open(files, directory)
@@ -30,7 +30,7 @@
 		return 0
 	}
 	for index := uint64(1); index < 100; index++ {
-		if err := store.Save(at(index)); err != nil {
+		if err := store.Save(snapshotAt(index)); err != nil {
 			return index - 1
 		}
 	}
@@ -38,8 +38,8 @@
 	return 0
 }
 
-// newestAfterCrash crashes after a number of operations and returns the last
-// acknowledged snapshot and the one recovered.
+// newestAfterCrash crashes the disk after a number of file operations and
+// returns the index of the last acknowledged snapshot and the snapshot recovered.
 func newestAfterCrash(t *testing.T, operations int, wrap func(vfs.FileSystem) vfs.FileSystem) (acked uint64, got consensus.Snapshot) {
 	t.Helper()
 	disk := vfs.NewMemory(rand.New(rand.NewSource(int64(operations))))
@@ -64,17 +64,19 @@
 		if index != acked && index != acked+1 {
 			t.Errorf("crash after %d operations: recovered %d, acknowledged %d", operations, index, acked)
 		}
-		if index > 0 && !reflect.DeepEqual(got, at(index)) {
+		if index > 0 && !reflect.DeepEqual(got, snapshotAt(index)) {
 			t.Errorf("crash after %d operations: snapshot %d differs", operations, index)
 		}
 	}
 }
 
-// noSyncDir is the planted fault: names are never made durable.
+// noSyncDir injects a fault: directory entries are never made durable.
 type noSyncDir struct{ vfs.FileSystem }
 
 func (noSyncDir) SyncDir(string) error { return nil }
 
+// TestMissingSyncIsCaught verifies that the crash test detects lost snapshots if
+// directories are not synced.
 func TestMissingSyncIsCaught(t *testing.T) {
 	for operations := range 60 {
 		acked, got := newestAfterCrash(t, operations, func(files vfs.FileSystem) vfs.FileSystem { return noSyncDir{files} })
@@ -92,7 +94,7 @@
 		t.Fatal(err)
 	}
 	for index := uint64(1); index <= 3; index++ {
-		if err := store.Save(at(index)); err != nil {
+		if err := store.Save(snapshotAt(index)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -107,14 +109,14 @@
 		t.Fatal(err)
 	}
 	got, found, err := store.LoadNewest()
-	if err != nil || !found || !reflect.DeepEqual(got, at(2)) {
+	if err != nil || !found || !reflect.DeepEqual(got, snapshotAt(2)) {
 		t.Errorf("newest: index %d, %v, %v", got.Metadata.Index, found, err)
 	}
 	damaged := store.Damaged()
 	if len(damaged) != 1 || damaged[0].File != store.path(3) || !strings.Contains(damaged[0].Error(), "remedy") {
 		t.Errorf("damaged: %v", damaged)
 	}
-	if err := store.Save(at(3)); err != nil {
+	if err := store.Save(snapshotAt(3)); err != nil {
 		t.Fatal(err)
 	}
 	names, err := disk.ReadDir(directory)
