--- a/internal/wal/errors.go
+++ b/internal/wal/errors.go
@@ -12,13 +12,13 @@
 const remedy = "restore the data folder from an intact copy, or remove it so that " +
 	"this controller joins the group again as a new replica"
 
-// DamageError says that the log cannot be read without losing entries that may
-// have been acknowledged.
+// DamageError reports that the log cannot be read without losing entries that
+// may have been acknowledged.
 type DamageError struct {
-	// File is the path of the segment, or of the directory if no single
-	// segment is at fault.
+	// File is the path of the damaged segment, or of the directory if the
+	// damage is not confined to one segment.
 	File string
-	// Offset is the position of the damage in bytes.
+	// Offset is the byte offset of the damage in File.
 	Offset int64
 	// Reason describes the damage.
 	Reason string
--- a/internal/wal/log.go
+++ b/internal/wal/log.go
@@ -11,7 +11,7 @@
 	"github.com/thorntiller/thorntiller/internal/vfs"
 )
 
-// entryOverheadBytes is more than an entry's encoding adds to its data.
+// entryOverheadBytes is an upper bound of what an entry's encoding adds to its data.
 const entryOverheadBytes = 32
 
 // Log is an open write-ahead log. It is safe for concurrent use. After a failed
@@ -26,19 +26,20 @@
 	size     int64
 	segments []segment
 	tail     tail
-	// hardState is the newest one on stable storage.
+	// hardState is the newest hard state on stable storage.
 	hardState consensus.HardState
 	// commit is the newest commit index given to Save.
 	commit uint64
-	// failure is why the log takes no more calls; nil while it does.
+	// failure is returned by every call once the log has failed or is closed; nil before.
 	failure error
 }
 
 // Save writes a hard state and entries and returns once they are on stable
 // storage. Entries overwrite those at and after their first index; they must
 // not leave a gap. A hard state that differs in Commit alone is kept in memory
-// and written with the next record or by Close, since replicas learn the commit
-// index again. Arguments that do not fit the log are refused without harm to it.
+// and written with the next record or by Close, since a restarted replica
+// learns the commit index again. Invalid arguments return an error and leave
+// the log usable.
 func (l *Log) Save(hardState *consensus.HardState, entries []consensus.Entry) error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -58,12 +59,13 @@
 	if len(entries) == 0 && !changed {
 		return nil
 	}
-	return l.saveParts(target, entries)
+	return l.saveRecords(target, entries)
 }
 
 // SyncCommit returns once a commit index is on stable storage. The entries up
-// to it must have been saved. Save alone may leave it in memory; a replica that
-// has acted on a committed membership change must know it after a restart.
+// to it must have been saved. Save alone may keep the index in memory, but a
+// replica that has applied a committed membership change must know after a
+// restart that it is committed.
 func (l *Log) SyncCommit(index uint64) error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -74,7 +76,7 @@
 		return nil
 	}
 	if index > l.tail.Last {
-		return eris.Errorf("commit index %d is behind the log's end %d", index, l.tail.Last)
+		return eris.Errorf("commit index %d is beyond the log's end %d", index, l.tail.Last)
 	}
 	l.commit = max(l.commit, index)
 	target := l.hardState
@@ -82,16 +84,16 @@
 	return l.write(record{HardState: &target})
 }
 
-// checkSave refuses what does not fit the log.
+// checkSave validates the arguments of Save against the state of the log.
 func (l *Log) checkSave(hardState *consensus.HardState, entries []consensus.Entry) error {
 	last := l.tail.Last
 	if len(entries) > 0 {
 		if err := checkEntries(entries, last); err != nil {
 			return err
 		}
-		if settled := max(l.tail.Mark.Index, l.commit); entries[0].Index <= settled {
+		if lastImmutable := max(l.tail.Mark.Index, l.commit); entries[0].Index <= lastImmutable {
 			return eris.Errorf("entries begin at index %d, but up to %d they are committed or in a snapshot",
-				entries[0].Index, settled)
+				entries[0].Index, lastImmutable)
 		}
 		last = entries[len(entries)-1].Index
 	}
@@ -102,23 +104,23 @@
 		return eris.Errorf("term %d is lower than the saved term %d", hardState.Term, l.hardState.Term)
 	}
 	if hardState.Commit > last {
-		return eris.Errorf("commit index %d is behind the log's end %d; save and mark the snapshot first",
+		return eris.Errorf("commit index %d is beyond the log's end %d; save and mark the snapshot first",
 			hardState.Commit, last)
 	}
 	return nil
 }
 
-// saveParts writes entries in records of bounded size, the hard state with the
-// last of them, so that a recovered commit index is never ahead of the entries.
-func (l *Log) saveParts(hardState consensus.HardState, entries []consensus.Entry) error {
+// saveRecords writes entries in records of bounded size. The hard state goes into
+// the last one, so that a recovered commit index is never beyond the entries.
+func (l *Log) saveRecords(hardState consensus.HardState, entries []consensus.Entry) error {
 	for {
-		count := l.partLength(entries)
-		part := record{Entries: entries[:count]}
+		count := l.recordEntryCount(entries)
+		next := record{Entries: entries[:count]}
 		entries = entries[count:]
 		if len(entries) == 0 {
-			part.HardState = &hardState
+			next.HardState = &hardState
 		}
-		if err := l.write(part); err != nil {
+		if err := l.write(next); err != nil {
 			return err
 		}
 		if len(entries) == 0 {
@@ -127,8 +129,8 @@
 	}
 }
 
-// partLength returns how many of the entries go into one record.
-func (l *Log) partLength(entries []consensus.Entry) int {
+// recordEntryCount returns how many of the entries fit into the next record, at least one if there are any.
+func (l *Log) recordEntryCount(entries []consensus.Entry) int {
 	size := 0
 	for count, entry := range entries {
 		size += len(entry.Data) + entryOverheadBytes
@@ -141,9 +143,9 @@
 
 // MarkSnapshot records that a snapshot at this position is on stable storage.
 // If the log's entry there has another term, or the log ends before it, the
-// snapshot replaces the whole log, and the next entry is index + 1. Call it
-// after a snapshot was received from the leader and stored, before the Save
-// that follows; for snapshots of the own state it may be left out. A snapshot
+// snapshot replaces the whole log, and the next entry is index + 1. It must be
+// called after a snapshot from the leader has been stored and before the next
+// Save; for a snapshot that the replica took itself it is optional. A snapshot
 // that is not newer than the last marked one is ignored.
 func (l *Log) MarkSnapshot(index, term uint64) error {
 	l.mutex.Lock()
@@ -158,7 +160,7 @@
 	if index <= l.tail.Mark.Index {
 		return nil
 	}
-	newest := markRecord{Snapshot: mark{Index: index, Term: term}}
+	newest := snapshotMark{Snapshot: snapshotPosition{Index: index, Term: term}}
 	newest.Replaces = l.tail.isReplacedBy(newest.Snapshot)
 	if newest.Replaces && index <= min(l.commit, l.tail.Last) {
 		return eris.Errorf("snapshot at index %d has term %d, but the committed entry there has another", index, term)
@@ -166,8 +168,8 @@
 	return l.write(record{Mark: &newest})
 }
 
-// write appends one record, syncs it and brings it into the state. A new
-// segment is begun first if the newest one is full.
+// write appends one record, syncs it and applies it to the in-memory state. It
+// rotates to a new segment first if the newest one is full.
 func (l *Log) write(value record) error {
 	frame, err := encodeRecord(value)
 	if err != nil {
@@ -190,8 +192,9 @@
 	return nil
 }
 
-// fail makes every later call return the same error. It is a plain error, since
-// wrapping an eris error again changes it, and several callers may hold this one.
+// fail makes every later call return the same error. The error is built with
+// fmt.Errorf, since wrapping an eris error again modifies it and several callers
+// may hold this one.
 func (l *Log) fail(err error) error {
 	l.failure = fmt.Errorf("write-ahead log failed; remedy: mend the disk and start the replica again: %w", err)
 	return l.failure
@@ -213,7 +216,7 @@
 	return nil
 }
 
-// rotate begins a new segment.
+// rotate creates a new segment and makes it the newest one.
 func (l *Log) rotate() error {
 	newest := l.segments[len(l.segments)-1].Name
 	next := segment{Name: segmentName{Sequence: newest.Sequence + 1, First: l.tail.Last + 1}}
@@ -225,9 +228,10 @@
 }
 
 // Release deletes the oldest segments that hold no entry above index. Index
-// must not be above a snapshot on stable storage. Each removal is durable
-// before the next, so that a crash leaves no hole. An error leaves the log
-// usable; a later Release tries again.
+// must not be above the index of a snapshot on stable storage. Each removal is
+// durable before the next, so that a crash leaves no gap between segments. If a
+// removal fails, the log stays usable and a later Release retries; if the sync
+// of the directory fails, the log fails.
 func (l *Log) Release(index uint64) error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -243,13 +247,13 @@
 			return l.fail(eris.Wrapf(err, "sync directory %s", l.directory))
 		}
 		l.segments = l.segments[1:]
-		l.tail.release(l.segments[0].Name.First)
+		l.tail.advanceFirst(l.segments[0].Name.First)
 	}
 	return nil
 }
 
-// Close writes the newest commit index and closes the log. It is safe to call
-// it twice.
+// Close writes the newest commit index and closes the log. It may be called more
+// than once.
 func (l *Log) Close() error {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -269,7 +273,8 @@
 	return closeErr
 }
 
-// closeFile closes the newest segment once.
+// closeFile closes the newest segment if it is open. Later calls on the log fail
+// with the reason, unless the log has already failed.
 func (l *Log) closeFile(reason error) error {
 	if l.failure == nil {
 		l.failure = reason
--- a/internal/wal/open.go
+++ b/internal/wal/open.go
@@ -19,26 +19,28 @@
 	// snapshot; both zero for none.
 	SnapshotIndex uint64
 	SnapshotTerm  uint64
-	// MustExist refuses a directory without a log. Set it if the replica's
-	// identity was found: it is saved after the log was first opened.
+	// MustExist makes Open fail if the directory holds no log. Set it if the
+	// replica has a stored identity, since that is saved only after the log was
+	// first opened.
 	MustExist bool
-	// SegmentBytes is the size at which a new segment begins; a segment exceeds
-	// it by one record at most. Zero means DefaultSegmentBytes.
+	// SegmentBytes is the size at which the log rotates to a new segment; a
+	// segment exceeds it by one record at most. Zero means DefaultSegmentBytes.
 	SegmentBytes int64
-	// RecordBytes is the entry data above which Save splits its record. Zero
+	// RecordBytes is the size of entries above which Save splits them into
+	// several records. Zero
 	// means DefaultRecordBytes.
 	RecordBytes int
 }
 
-// Recovered is what a log held when it was opened. All of it is on stable
-// storage.
+// Recovered is the state read by Open. All of it is on stable storage.
 type Recovered struct {
-	// HardState is the newest saved one. Commit is at least the snapshot index;
-	// it may be lower than the last one given to Save, see Save.
+	// HardState is the newest saved hard state. Its Commit is at least the
+	// snapshot index, but may be lower than the last one given to Save; see Save.
 	HardState consensus.HardState
 	// Entries follow Options.SnapshotIndex without a gap.
 	Entries []consensus.Entry
-	// CutBytes is the length of a torn record that was cut at the end.
+	// CutBytes is the length of the torn record truncated from the end of the
+	// log; zero for none.
 	CutBytes int
 }
 
@@ -63,9 +65,9 @@
 	return nil
 }
 
-// Open reads the log in a directory, or starts one there if there is none. It
+// Open reads the log in a directory, or creates one if there is none. It
 // returns a DamageError if entries that may have been acknowledged cannot be
-// read, or if the log does not reach back to the snapshot.
+// read, or if entries are missing between the snapshot and the start of the log.
 func Open(fileSystem vfs.FileSystem, directory string, options Options) (*Log, Recovered, error) {
 	options = options.withDefaults()
 	if err := options.check(); err != nil {
@@ -95,10 +97,11 @@
 	return log, recovered, nil
 }
 
-// resume makes the log writable after a replay.
+// resume makes the log writable after a replay. It rewrites the last segment
+// without its torn end.
 func (l *Log) resume(replayed *replay) error {
 	if len(replayed.segments) == 0 {
-		return l.begin(replayed)
+		return l.createFirstSegment(replayed)
 	}
 	if err := replayed.check(l.options); err != nil {
 		return err
@@ -111,7 +114,7 @@
 	if err := l.startSegment(newest, replayed.lastData); err != nil {
 		return err
 	}
-	replaces := l.tail.isReplacedBy(mark{Index: l.options.SnapshotIndex, Term: l.options.SnapshotTerm})
+	replaces := l.tail.isReplacedBy(snapshotPosition{Index: l.options.SnapshotIndex, Term: l.options.SnapshotTerm})
 	if err := l.markSnapshot(l.options.SnapshotIndex, l.options.SnapshotTerm); err != nil {
 		return err
 	}
@@ -121,12 +124,13 @@
 	return nil
 }
 
-// begin starts the first segment of a new log.
-func (l *Log) begin(replayed *replay) error {
+// createFirstSegment creates the first segment of a new log. It returns a
+// DamageError if the replica has state, since its log is then missing.
+func (l *Log) createFirstSegment(replayed *replay) error {
 	if l.options.MustExist || l.options.SnapshotIndex > 0 {
 		return replayed.damage("", 0, "its segments are missing, but this replica has state")
 	}
-	l.tail = newTail(0, mark{})
+	l.tail = newTail(0, snapshotPosition{})
 	replayed.tail = l.tail
 	first := segment{Name: segmentName{Sequence: 1, First: 1}}
 	if err := l.createSegment(first.Name.Sequence); err != nil {
--- a/internal/wal/record.go
+++ b/internal/wal/record.go
@@ -13,9 +13,9 @@
 
 const (
 	frameHeaderBytes = 8
-	// recordLimitBytes bounds the length that a frame may claim.
+	// recordLimitBytes is the maximum payload length of a record.
 	recordLimitBytes = 256 << 20
-	// sectorBytes is the unit that a disk writes whole or not at all.
+	// sectorBytes is the unit that a disk writes atomically.
 	sectorBytes = 512
 	// formatVersion is written to each segment header.
 	formatVersion = 1
@@ -28,16 +28,17 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// mark is the position of a snapshot.
-type mark struct {
+// snapshotPosition is the index and term of the last entry that a snapshot covers.
+type snapshotPosition struct {
 	Index uint64
 	Term  uint64
 }
 
-// markRecord notes a snapshot. Replaces is stored, since the entries that it was
-// decided by may be in a segment that was deleted.
-type markRecord struct {
-	Snapshot mark
+// snapshotMark records that a snapshot is on stable storage and whether it
+// replaces the log. Replaces is stored, since the entries that determined it may
+// be in a segment that has been deleted.
+type snapshotMark struct {
+	Snapshot snapshotPosition
 	Replaces bool
 }
 
@@ -46,9 +47,9 @@
 	Version   int
 	Sequence  uint64
 	HardState consensus.HardState
-	// Last is the last index of the log.
+	// Last is the last index of the log when the segment was created.
 	Last uint64
-	Mark mark
+	Mark snapshotPosition
 }
 
 // record is one payload, encoded as an array. Nil fields are absent.
@@ -56,13 +57,13 @@
 	Magic     string
 	Header    *segmentHeader
 	HardState *consensus.HardState
-	Mark      *markRecord
+	Mark      *snapshotMark
 	Entries   []consensus.Entry
-	// End is true, so that the last byte of a record is never zero.
+	// End is always true, so that the last byte of a record is never zero.
 	End bool
 }
 
-// encodeRecord returns the framed record.
+// encodeRecord returns the record with its frame header.
 func encodeRecord(value record) ([]byte, error) {
 	value.Magic = recordMagic
 	value.End = true
@@ -84,7 +85,7 @@
 	return frame, nil
 }
 
-// decodeRecord reads the record at an offset and returns the offset behind it.
+// decodeRecord reads the record at an offset and returns the offset after it.
 // The reason is empty if the record is valid.
 func decodeRecord(data []byte, offset int) (value record, next int, reason string) {
 	payload, checksum, reason := framePayload(data, offset)
@@ -122,8 +123,8 @@
 	return rest[:length], checksum, ""
 }
 
-// isTorn reports whether the bad record at an offset of the last segment was
-// left by a crash in the middle of its write, rather than damaged later.
+// isTorn reports whether the invalid record at an offset of the last segment was
+// left by a crash during its write, rather than damaged later.
 func isTorn(data []byte, offset int) bool {
 	if hasValidRecord(data, offset+1) {
 		return false
@@ -137,14 +138,14 @@
 		return false
 	}
 	end := offset + frameHeaderBytes + int(length)
-	if end > len(data) || (end < len(data) && startsWithUntoldSector(data, offset)) {
+	if end > len(data) || (end < len(data) && startsWithAmbiguousSector(data, offset)) {
 		return !onlyLengthDamaged(rest)
 	}
 	return hasZeroSector(data, offset, end)
 }
 
-// onlyLengthDamaged reports whether the rest of the segment is one whole
-// payload whose frame claims more than that.
+// onlyLengthDamaged reports whether the rest of the segment is one payload that
+// matches its checksum, although its frame has another length.
 func onlyLengthDamaged(rest []byte) bool {
 	checksum := binary.BigEndian.Uint32(rest[4:])
 	payload := rest[frameHeaderBytes:]
@@ -166,22 +167,22 @@
 	return false
 }
 
-// lengthZeroBytes is how many bytes at the start of a record may be zero: the
-// high bytes of its length.
-const lengthZeroBytes = 3
+// lengthHighBytes is how many bytes at the start of a valid record may all be
+// zero: the high bytes of its length.
+const lengthHighBytes = 3
 
-// startsWithUntoldSector reports whether the first sector of a record holds no
-// more than high bytes of its length, all zero. They are zero in most records, so
-// that they do not tell whether the sector was written.
-func startsWithUntoldSector(data []byte, offset int) bool {
+// startsWithAmbiguousSector reports whether the first sector of a record holds
+// only high bytes of its length, all zero. These are zero in most records, so
+// they do not show whether the sector was written.
+func startsWithAmbiguousSector(data []byte, offset int) bool {
 	next := offset + sectorBytes - offset%sectorBytes
-	return next <= offset+lengthZeroBytes && len(bytes.Trim(data[offset:next], "\x00")) == 0
+	return next <= offset+lengthHighBytes && len(bytes.Trim(data[offset:next], "\x00")) == 0
 }
 
-// hasZeroSector reports whether one of the sectors between the start and the
-// end of a record holds only zeros there.
+// hasZeroSector reports whether the part of the record in one of its sectors
+// holds only zeros. An ambiguous first sector is skipped.
 func hasZeroSector(data []byte, offset, end int) bool {
-	if startsWithUntoldSector(data, offset) {
+	if startsWithAmbiguousSector(data, offset) {
 		offset += sectorBytes - offset%sectorBytes
 	}
 	for offset < end {
--- a/internal/wal/record_test.go
+++ b/internal/wal/record_test.go
@@ -8,8 +8,9 @@
 	"github.com/thorntiller/thorntiller/internal/consensus"
 )
 
-// TestFlippedBitIsNoTornWrite flips each bit of a whole last record, wherever
-// its start lies in a sector.
+// TestFlippedBitIsNoTornWrite verifies that a single flipped bit in a complete
+// last record counts as damage, also if the record starts near a sector boundary.
+// Truncated as a torn write, an acknowledged record would be lost.
 func TestFlippedBitIsNoTornWrite(t *testing.T) {
 	for _, size := range []int{40, 200, 600} {
 		entry := consensus.Entry{Index: 1, Term: 1, Data: bytes.Repeat([]byte("x"), size)}
@@ -30,8 +31,8 @@
 	}
 }
 
-// TestLostLengthIsTornWrite: the sector with the high bytes of a length was not
-// written, and neither was the end of the record.
+// TestLostLengthIsTornWrite verifies that a record counts as torn if neither the
+// sector with the high bytes of its length nor the end of the record was written.
 func TestLostLengthIsTornWrite(t *testing.T) {
 	entry := consensus.Entry{Index: 1, Term: 1, Data: bytes.Repeat([]byte("x"), 600)}
 	frame, err := encodeRecord(record{Entries: []consensus.Entry{entry}})
--- a/internal/wal/replay.go
+++ b/internal/wal/replay.go
@@ -10,13 +10,13 @@
 	"github.com/thorntiller/thorntiller/internal/vfs"
 )
 
-// replay rebuilds the log's state from its segments, in order.
+// replay rebuilds the state of the log from its segments in sequence order.
 type replay struct {
 	fileSystem vfs.FileSystem
 	directory  string
 	hardState  consensus.HardState
 	tail       tail
-	// entries are those from tail.First to tail.Last.
+	// entries holds the entries from tail.First to tail.Last.
 	entries  []consensus.Entry
 	segments []segment
 	// lastData is the valid part of the last segment.
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// apply brings one record into the state.
+// apply applies one record to the state.
 func (r *replay) apply(name segmentName, offset int, value record) error {
 	if (offset == 0) != (value.Header != nil) {
 		return r.damage(name.file(), offset, "segment header is missing or out of place")
@@ -133,14 +133,14 @@
 	return ""
 }
 
-func (r *replay) applyMark(newest markRecord) {
+func (r *replay) applyMark(newest snapshotMark) {
 	r.tail.setMark(newest)
 	if newest.Replaces {
 		r.entries = nil
 	}
 }
 
-// after returns the entries that follow a snapshot.
+// after returns the entries after a snapshot index.
 func (r *replay) after(snapshotIndex uint64) []consensus.Entry {
 	if snapshotIndex < r.tail.First {
 		return r.entries
@@ -148,7 +148,7 @@
 	return r.entries[min(snapshotIndex+1-r.tail.First, uint64(len(r.entries))):]
 }
 
-// check compares the replayed log with the snapshot that it must follow.
+// check verifies that the replayed log is consistent with the newest snapshot.
 func (r *replay) check(options Options) error {
 	if r.tail.First > options.SnapshotIndex+1 {
 		return r.damage("", 0, fmt.Sprintf(
@@ -175,7 +175,7 @@
 	}, "open the write-ahead log")
 }
 
-// checkEntries says whether entries are contiguous and follow or overlap a log
+// checkEntries verifies that entries are contiguous and leave no gap after a log
 // that ends at last.
 func checkEntries(entries []consensus.Entry, last uint64) error {
 	first := entries[0].Index
--- a/internal/wal/segment.go
+++ b/internal/wal/segment.go
@@ -12,8 +12,8 @@
 
 const segmentSuffix = ".wal"
 
-// segmentName identifies a segment by its sequence number and the first index
-// that follows the log at its creation.
+// segmentName identifies a segment by its sequence number and the index after
+// the end of the log when the segment was created.
 type segmentName struct {
 	Sequence uint64
 	First    uint64
@@ -22,7 +22,7 @@
 // segment is one file of the log.
 type segment struct {
 	Name segmentName
-	// Last is the highest index that the segment holds; zero for none.
+	// Last is the highest index that the segment holds; zero if it holds no entry.
 	Last uint64
 }
 
@@ -36,8 +36,8 @@
 	return name, err == nil && count == 2 && name.file() == file
 }
 
-// listSegments returns the segments of a directory in the order of their
-// sequence. File names sort in that order.
+// listSegments returns the segments in a directory in sequence order, which is
+// the order of their file names.
 func listSegments(fileSystem vfs.FileSystem, directory string) ([]segmentName, error) {
 	files, err := fileSystem.ReadDir(directory)
 	if err != nil {
@@ -58,8 +58,8 @@
 	return names, nil
 }
 
-// createSegment starts the next segment; it and its name are on stable storage
-// on return.
+// createSegment creates the next segment. Its content and its directory entry are
+// on stable storage on return.
 func (l *Log) createSegment(sequence uint64) error {
 	header := segmentHeader{
 		Version:   formatVersion,
@@ -75,7 +75,7 @@
 	return l.startSegment(segmentName{Sequence: sequence, First: l.tail.Last + 1}, frame)
 }
 
-// startSegment writes a segment with the given content and opens it for more.
+// startSegment writes a segment with the given content and opens it for appending.
 func (l *Log) startSegment(name segmentName, content []byte) error {
 	path := filepath.Join(l.directory, name.file())
 	if err := vfs.WriteFileAtomic(l.fileSystem, path, content); err != nil {
--- a/internal/wal/tail.go
+++ b/internal/wal/tail.go
@@ -7,23 +7,23 @@
 	"github.com/thorntiller/thorntiller/internal/consensus"
 )
 
-// termRun is a stretch of entries of one term, from First on.
+// termRun is a run of consecutive entries of one term that starts at First.
 type termRun struct {
 	First uint64
 	Term  uint64
 }
 
-// tail is the part of the log that the segments hold: the indexes after
-// First - 1, their terms, and the newest snapshot mark.
+// tail describes the part of the log that the segments hold: the indexes from
+// First to Last, their terms, and the newest marked snapshot.
 type tail struct {
 	First uint64
 	Last  uint64
-	Mark  mark
+	Mark  snapshotPosition
 	runs  []termRun
 }
 
-// newTail returns an empty tail that continues after an index.
-func newTail(last uint64, newest mark) tail {
+// newTail returns an empty tail whose first entry will follow the index last.
+func newTail(last uint64, newest snapshotPosition) tail {
 	return tail{First: last + 1, Last: last, Mark: newest}
 }
 
@@ -62,7 +62,7 @@
 
 // isReplacedBy reports whether a snapshot replaces the log: the log ends before
 // it, or the entry at its position has another term.
-func (t *tail) isReplacedBy(snapshot mark) bool {
+func (t *tail) isReplacedBy(snapshot snapshotPosition) bool {
 	if snapshot.Index < t.First {
 		return false
 	}
@@ -71,15 +71,15 @@
 }
 
 // setMark records a snapshot, which may replace the log.
-func (t *tail) setMark(newest markRecord) {
+func (t *tail) setMark(newest snapshotMark) {
 	t.Mark = newest.Snapshot
 	if newest.Replaces {
 		*t = newTail(newest.Snapshot.Index, newest.Snapshot)
 	}
 }
 
-// release forgets the terms of entries that no segment holds any more.
-func (t *tail) release(first uint64) {
+// advanceFirst discards the terms of entries that no segment holds any more.
+func (t *tail) advanceFirst(first uint64) {
 	t.First = max(t.First, min(first, t.Last+1))
 	for len(t.runs) > 1 && t.runs[1].First <= t.First {
 		t.runs = t.runs[1:]
--- a/internal/wal/wal_test.go
+++ b/internal/wal/wal_test.go
@@ -25,10 +25,10 @@
 	casesPerRun  = 100
 )
 
-// model is what the log acknowledged.
+// model is the state that the log should recover.
 type model struct {
 	hardState consensus.HardState
-	snapshot  mark
+	snapshot  snapshotPosition
 	entries   []consensus.Entry // those after the snapshot
 }
 
@@ -44,8 +44,8 @@
 	return m
 }
 
-// mark returns the model after a snapshot, of the own state or of a leader.
-func (m model) mark(position mark) model {
+// mark returns the model after a snapshot, taken locally or received from a leader.
+func (m model) mark(position snapshotPosition) model {
 	offset := position.Index - m.snapshot.Index
 	if position.Index <= m.last() && m.entries[offset-1].Term == position.Term {
 		m.entries = m.entries[offset:]
@@ -57,7 +57,8 @@
 	return m
 }
 
-// matches compares what a log recovered. Only the commit index may be older.
+// matches reports whether the recovered state equals the model. Only the commit
+// index may be lower.
 func (m model) matches(got Recovered) bool {
 	return got.HardState.Term == m.hardState.Term && got.HardState.Vote == m.hardState.Vote &&
 		got.HardState.Commit <= m.hardState.Commit && len(got.Entries) == len(m.entries) &&
@@ -75,24 +76,24 @@
 	files  vfs.FileSystem
 	log    *Log
 	acked  model
-	// wanted is what the last call would have led to, had it not failed.
-	wanted model
+	// attempted is the state after the last call if it took effect.
+	attempted model
 }
 
-// step makes one random call, often with a crash in its middle.
+// step makes one random call, often with a crash during it.
 func (h *history) step() error {
 	if h.random.Intn(3) == 0 {
 		h.disk.CrashAfter(h.random.Intn(6))
 	}
-	err := h.call()
+	err := h.randomCall()
 	if err != nil && !errors.Is(err, vfs.ErrCrashed) {
 		return err
 	}
 	if err == nil {
-		h.acked = h.wanted
+		h.acked = h.attempted
 	}
 	if err == nil && h.random.Intn(2) == 0 {
-		return nil // a pending crash point strikes one of the next calls
+		return nil // a pending crash point hits one of the next calls
 	}
 	if h.random.Intn(4) > 0 {
 		h.disk.Crash()
@@ -102,33 +103,33 @@
 	return h.reopen()
 }
 
-func (h *history) call() error {
-	h.wanted = h.acked
+func (h *history) randomCall() error {
+	h.attempted = h.acked
 	switch h.random.Intn(8) {
 	case 0:
-		position := mark{Index: h.acked.hardState.Commit, Term: h.acked.hardState.Term}
+		position := snapshotPosition{Index: h.acked.hardState.Commit, Term: h.acked.hardState.Term}
 		switch {
-		case h.random.Intn(2) == 0: // a leader's, in conflict with the log or behind it
+		case h.random.Intn(2) == 0: // from a leader, in conflict with the log or beyond its end
 			position.Index += uint64(h.random.Intn(int(h.acked.last()-position.Index)+5)) + 1
 			position.Term++
-		case position.Index > h.acked.snapshot.Index: // of the own state
+		case position.Index > h.acked.snapshot.Index: // taken locally
 			position.Term = h.acked.entries[position.Index-h.acked.snapshot.Index-1].Term
 		default:
 			return nil
 		}
-		h.acked = h.acked.mark(position) // the snapshot store holds it from here on
-		h.wanted = h.acked
+		h.acked = h.acked.mark(position) // the snapshot is stored before it is marked
+		h.attempted = h.acked
 		return h.log.MarkSnapshot(position.Index, position.Term)
 	case 1:
 		return h.log.Release(h.acked.snapshot.Index)
 	}
-	hardState, entries := h.draw()
-	h.wanted = h.acked.save(hardState, entries)
+	hardState, entries := h.randomSave()
+	h.attempted = h.acked.save(hardState, entries)
 	return h.log.Save(&hardState, entries)
 }
 
-// draw makes a hard state and entries that fit the log.
-func (h *history) draw() (consensus.HardState, []consensus.Entry) {
+// randomSave returns a random hard state and entries that are valid for the log.
+func (h *history) randomSave() (consensus.HardState, []consensus.Entry) {
 	hardState := h.acked.hardState
 	first := h.acked.last() + 1
 	if hardState.Term == 0 || h.random.Intn(3) == 0 {
@@ -149,7 +150,8 @@
 	return hardState, entries
 }
 
-// reopen restarts the log and compares it with what was acknowledged.
+// reopen reopens the log and compares the recovered state with the acknowledged
+// one and with that after the failed call, if any.
 func (h *history) reopen() error {
 	log, got, err := Open(h.files, directory, h.acked.options())
 	if err != nil {
@@ -157,12 +159,12 @@
 	}
 	switch {
 	case h.acked.matches(got):
-	case h.wanted.matches(got):
-		h.acked = h.wanted
+	case h.attempted.matches(got):
+		h.acked = h.attempted
 	default:
 		return fmt.Errorf("recovered %s; acknowledged %s, or, with the failed call, %s",
 			describe(got.HardState, got.Entries), describe(h.acked.hardState, h.acked.entries),
-			describe(h.wanted.hardState, h.wanted.entries))
+			describe(h.attempted.hardState, h.attempted.entries))
 	}
 	h.acked.hardState.Commit = got.HardState.Commit
 	h.log = log
@@ -177,7 +179,7 @@
 	return text
 }
 
-// runHistory returns the first contradiction of one seeded history.
+// runHistory runs one seeded history and returns its first error or mismatch.
 func runHistory(seed int64, wrap func(vfs.FileSystem) vfs.FileSystem) (*history, error) {
 	random := rand.New(rand.NewSource(seed))
 	disk := vfs.NewMemory(random)
@@ -195,9 +197,9 @@
 	return h, h.reopen()
 }
 
-func plain(files vfs.FileSystem) vfs.FileSystem { return files }
+func withoutFault(files vfs.FileSystem) vfs.FileSystem { return files }
 
-// noSync is the planted fault: its files do not sync.
+// noSync injects a fault: Sync of its files does nothing.
 type noSync struct{ vfs.FileSystem }
 
 type noSyncFile struct{ vfs.File }
@@ -214,13 +216,13 @@
 	return noSyncFile{file}, err
 }
 
-// noSyncDir is the planted fault: names are never made durable.
+// noSyncDir injects a fault: directory entries are never made durable.
 type noSyncDir struct{ vfs.FileSystem }
 
 func (noSyncDir) SyncDir(string) error { return nil }
 
-// holds reports whether the property holds for every drawn seed.
-func holds(t *testing.T, wrap func(vfs.FileSystem) vfs.FileSystem) bool {
+// propertyHolds reports whether every random history recovers the acknowledged state.
+func propertyHolds(t *testing.T, wrap func(vfs.FileSystem) vfs.FileSystem) bool {
 	t.Helper()
 	parameters := gopter.DefaultTestParametersWithSeed(gopterSeed)
 	parameters.MinSuccessfulTests = casesPerRun
@@ -240,28 +242,31 @@
 }
 
 func TestAcknowledgedSurvivesCrashes(t *testing.T) {
-	if !holds(t, plain) {
+	if !propertyHolds(t, withoutFault) {
 		t.Error("an acknowledged save was not recovered exactly")
 	}
 }
 
+// TestMissingSyncIsCaught verifies that the property test detects lost data if
+// files or directories are not synced.
 func TestMissingSyncIsCaught(t *testing.T) {
-	if holds(t, func(files vfs.FileSystem) vfs.FileSystem { return noSync{files} }) {
+	if propertyHolds(t, func(files vfs.FileSystem) vfs.FileSystem { return noSync{files} }) {
 		t.Error("the property holds without file syncs")
 	}
-	if holds(t, func(files vfs.FileSystem) vfs.FileSystem { return noSyncDir{files} }) {
+	if propertyHolds(t, func(files vfs.FileSystem) vfs.FileSystem { return noSyncDir{files} }) {
 		t.Error("the property holds without directory syncs")
 	}
 }
 
-// TestFlippedBitRefuses flips one bit anywhere in the log.
+// TestFlippedBitRefuses verifies that Open returns a DamageError for the segment
+// in which any one bit is flipped.
 func TestFlippedBitRefuses(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(gopterSeed)
 	parameters.MinSuccessfulTests = casesPerRun
 	parameters.MaxShrinkCount = 0
 	properties := gopter.NewProperties(parameters)
 	properties.Property("open refuses", prop.ForAll(func(seed int64) string {
-		h, err := runHistory(seed, plain)
+		h, err := runHistory(seed, withoutFault)
 		if err != nil {
 			return err.Error()
 		}
@@ -285,7 +290,7 @@
 	properties.TestingRun(t)
 }
 
-func openNew(t *testing.T, disk vfs.FileSystem, options Options) *Log {
+func mustOpen(t *testing.T, disk vfs.FileSystem, options Options) *Log {
 	t.Helper()
 	log, _, err := Open(disk, directory, options)
 	if err != nil {
@@ -304,7 +309,7 @@
 
 func TestFullDiskPoisonsTheLog(t *testing.T) {
 	disk := vfs.NewMemory(rand.New(rand.NewSource(1)))
-	log := openNew(t, disk, Options{RecordBytes: 50})
+	log := mustOpen(t, disk, Options{RecordBytes: 50})
 	if err := log.Save(&consensus.HardState{Term: 1}, entriesOf(1, 9, 1)); err != nil {
 		t.Fatal(err)
 	}
@@ -325,7 +330,7 @@
 
 func TestGapsAreRefused(t *testing.T) {
 	disk := vfs.NewMemory(nil)
-	log := openNew(t, disk, Options{SegmentBytes: 1})
+	log := mustOpen(t, disk, Options{SegmentBytes: 1})
 	if err := log.Save(&consensus.HardState{Term: 1, Commit: 3}, entriesOf(1, 3, 1)); err != nil {
 		t.Fatal(err)
 	}
