--- a/internal/vfs/atomic.go
+++ b/internal/vfs/atomic.go
@@ -8,13 +8,13 @@
 	"github.com/rotisserie/eris"
 )
 
-// TemporarySuffix ends the name of a file that is not complete yet. Files with
-// this suffix that are found at start were left by a crash and hold nothing
-// that was acknowledged.
+// TemporarySuffix is the suffix of the name of an incomplete file. Files with
+// this suffix that are found at startup were left by a crash and hold no
+// acknowledged data.
 const TemporarySuffix = ".tmp"
 
-// WriteFileAtomic replaces the file at path by data: after a crash at any
-// moment the path holds either all of the old or all of the new content. It
+// WriteFileAtomic replaces the content of the file at path with data: after a
+// crash at any point the file has either all of the old or all of the new content. It
 // returns once the new content is on stable storage.
 func WriteFileAtomic(fileSystem FileSystem, path string, data []byte) error {
 	temporary := path + TemporarySuffix
@@ -60,8 +60,7 @@
 	return data, eris.Wrapf(err, "read %s", path)
 }
 
-// RemoveTemporary deletes the files that a crash left incomplete in a
-// directory.
+// RemoveTemporary deletes the incomplete files that a crash left in a directory.
 func RemoveTemporary(fileSystem FileSystem, directory string) error {
 	names, err := fileSystem.ReadDir(directory)
 	if err != nil {
--- a/internal/vfs/filesystem.go
+++ b/internal/vfs/filesystem.go
@@ -8,7 +8,7 @@
 	io.Writer
 	io.Closer
 	// Sync returns once the content is on stable storage. After an error the
-	// content is in doubt; the caller must not retry Sync on this file.
+	// content is undefined; the caller must not retry Sync on this file.
 	Sync() error
 }
 
@@ -16,7 +16,7 @@
 // Errors satisfy errors.Is with io/fs errors (fs.ErrNotExist) and with
 // syscall.ENOSPC where they apply.
 type FileSystem interface {
-	// Create opens a file for writing and empties it if it exists.
+	// Create opens a file for writing. An existing file is truncated to zero length.
 	Create(path string) (File, error)
 	// OpenAppend opens an existing file for writing at its end.
 	OpenAppend(path string) (File, error)
@@ -33,8 +33,9 @@
 	ReadDir(path string) ([]string, error)
 	// Size returns a file's length in bytes.
 	Size(path string) (int64, error)
-	// Truncate cuts a file to size bytes. It is durable after Sync of the file.
+	// Truncate shortens a file to size bytes. It is durable after Sync of the file.
 	Truncate(path string, size int64) error
-	// SyncDir makes the names in a directory durable.
+	// SyncDir makes the creation, renaming and removal of files in a directory
+	// durable.
 	SyncDir(path string) error
 }
--- a/internal/vfs/memory.go
+++ b/internal/vfs/memory.go
@@ -10,12 +10,12 @@
 	"syscall"
 )
 
-// ErrCrashed is returned by every operation of a Memory between the crash
-// point set by CrashAfter and Crash, and by files that were opened before a
-// crash.
-var ErrCrashed = errors.New("the modelled disk crashed")
+// ErrCrashed is returned by every operation of a Memory after the crash point
+// set by CrashAfter until Crash is called, and by files that were opened before
+// a crash.
+var ErrCrashed = errors.New("the in-memory disk crashed")
 
-// noLimit switches off the write budget and the crash point.
+// noLimit disables the limit of free space or the crash point.
 const noLimit = -1
 
 // node is the content of one file: what the running process sees and what
@@ -25,20 +25,23 @@
 	synced  []byte
 }
 
-// Memory models a disk. It is safe for concurrent use, and deterministic for
-// one order of calls. Directories are durable as soon as they are made.
+// Memory is an in-memory disk with fault injection. It is safe for concurrent
+// use, and deterministic for a given order of calls. Directories are durable as
+// soon as they are created.
 type Memory struct {
 	mutex       sync.Mutex
 	random      *rand.Rand
 	directories map[string]bool
 	names       map[string]*node
-	synced      map[string]*node
-	// generation rises at each crash; files of an older one are dead.
+	syncedNames map[string]*node
+	// generation is incremented at each crash or loss of the disk; files opened in
+	// an earlier generation return ErrCrashed.
 	generation int
-	// budget is how many bytes may still be written.
-	budget int64
-	// steps is how many changing operations may still succeed.
-	steps int
+	// freeBytes is how many bytes may still be written; noLimit for any number.
+	freeBytes int64
+	// operationsLeft is how many modifying operations may still succeed; noLimit
+	// for any number.
+	operationsLeft int
 }
 
 var _ FileSystem = (*Memory)(nil)
@@ -47,22 +50,22 @@
 // part of what was not synced, as real disks may; with nil it drops all of it.
 func NewMemory(random *rand.Rand) *Memory {
 	return &Memory{
-		random:      random,
-		directories: map[string]bool{},
-		names:       map[string]*node{},
-		synced:      map[string]*node{},
-		budget:      noLimit,
-		steps:       noLimit,
+		random:         random,
+		directories:    map[string]bool{},
+		names:          map[string]*node{},
+		syncedNames:    map[string]*node{},
+		freeBytes:      noLimit,
+		operationsLeft: noLimit,
 	}
 }
 
-// step counts one changing operation towards the crash point.
-func (m *Memory) step() error {
-	if m.steps == 0 {
+// countOperation counts one modifying operation towards the crash point.
+func (m *Memory) countOperation() error {
+	if m.operationsLeft == 0 {
 		return ErrCrashed
 	}
-	if m.steps > 0 {
-		m.steps--
+	if m.operationsLeft > 0 {
+		m.operationsLeft--
 	}
 	return nil
 }
@@ -75,7 +78,7 @@
 	if !m.directories[filepath.Dir(path)] {
 		return nil, notExist("create", path)
 	}
-	if err := m.step(); err != nil {
+	if err := m.countOperation(); err != nil {
 		return nil, err
 	}
 	found := m.names[path]
@@ -108,7 +111,7 @@
 }
 
 func (m *Memory) find(operation, path string) (*node, error) {
-	if m.steps == 0 {
+	if m.operationsLeft == 0 {
 		return nil, ErrCrashed
 	}
 	found := m.names[filepath.Clean(path)]
@@ -126,7 +129,7 @@
 	if err != nil {
 		return err
 	}
-	if err := m.step(); err != nil {
+	if err := m.countOperation(); err != nil {
 		return err
 	}
 	delete(m.names, filepath.Clean(from))
@@ -141,7 +144,7 @@
 	if _, err := m.find("remove", path); err != nil {
 		return err
 	}
-	if err := m.step(); err != nil {
+	if err := m.countOperation(); err != nil {
 		return err
 	}
 	delete(m.names, filepath.Clean(path))
@@ -152,7 +155,7 @@
 func (m *Memory) MkdirAll(path string) error {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if err := m.step(); err != nil {
+	if err := m.countOperation(); err != nil {
 		return err
 	}
 	path = filepath.Clean(path)
@@ -167,7 +170,7 @@
 func (m *Memory) ReadDir(path string) ([]string, error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if m.steps == 0 {
+	if m.operationsLeft == 0 {
 		return nil, ErrCrashed
 	}
 	path = filepath.Clean(path)
@@ -206,7 +209,7 @@
 	if size < 0 || size > int64(len(found.content)) {
 		return &fs.PathError{Op: "truncate", Path: path, Err: syscall.EINVAL}
 	}
-	if err := m.step(); err != nil {
+	if err := m.countOperation(); err != nil {
 		return err
 	}
 	found.content = slices.Clone(found.content[:size])
@@ -217,23 +220,23 @@
 func (m *Memory) SyncDir(path string) error {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if err := m.step(); err != nil {
+	if err := m.countOperation(); err != nil {
 		return err
 	}
-	m.keepNames(filepath.Clean(path))
+	m.syncNames(filepath.Clean(path))
 	return nil
 }
 
-// keepNames makes the names in one directory durable.
-func (m *Memory) keepNames(directory string) {
-	for name := range m.synced {
+// syncNames makes the names in one directory durable.
+func (m *Memory) syncNames(directory string) {
+	for name := range m.syncedNames {
 		if filepath.Dir(name) == directory {
-			delete(m.synced, name)
+			delete(m.syncedNames, name)
 		}
 	}
 	for name, found := range m.names {
 		if filepath.Dir(name) == directory {
-			m.synced[name] = found
+			m.syncedNames[name] = found
 		}
 	}
 }
--- a/internal/vfs/memory_fault.go
+++ b/internal/vfs/memory_fault.go
@@ -10,48 +10,49 @@
 	"syscall"
 )
 
-// sectorBytes is the unit that a disk writes whole or not at all.
+// sectorBytes is the unit that a disk writes atomically.
 const sectorBytes = 512
 
-// Crash models a power failure: open files die, and what was not synced is
-// lost. With a random source each directory's unsynced names survive or not,
-// and a random part of each file's unsynced end survives, some of its sectors
-// as zeros. The crash point is cleared; the space budget stays.
+// Crash simulates a power failure: open files become unusable, and unsynced
+// changes are lost. With a random source, the unsynced names of each directory
+// survive or not, and of the unsynced data at the end of each file a prefix of
+// random length survives, in which some sectors may read as zeros. The crash
+// point is cleared; the limit of free space stays.
 func (m *Memory) Crash() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.generation++
-	m.steps = noLimit
+	m.operationsLeft = noLimit
 	if m.random != nil {
-		m.keepSomeNames()
+		m.syncRandomNames()
 	}
-	m.names = maps.Clone(m.synced)
+	m.names = maps.Clone(m.syncedNames)
 	for _, path := range slices.Sorted(maps.Keys(m.names)) {
 		m.crashNode(m.names[path])
 	}
 }
 
-// keepSomeNames lets the unsynced names of some directories survive.
-func (m *Memory) keepSomeNames() {
+// syncRandomNames makes the names in a random part of the directories durable.
+func (m *Memory) syncRandomNames() {
 	for _, directory := range slices.Sorted(maps.Keys(m.directories)) {
 		if m.random.Intn(2) == 0 {
-			m.keepNames(directory)
+			m.syncNames(directory)
 		}
 	}
 }
 
-// crashNode leaves in a file what stable storage holds.
+// crashNode reduces a file to the content that survives a crash.
 func (m *Memory) crashNode(file *node) {
 	survived := slices.Clone(file.synced)
 	if m.random != nil && bytes.HasPrefix(file.content, file.synced) {
-		survived = append(survived, m.tear(len(survived), file.content[len(survived):])...)
+		survived = append(survived, m.tornBytes(len(survived), file.content[len(survived):])...)
 	}
 	file.content = survived
 	file.synced = slices.Clone(survived)
 }
 
-// tear returns what a crash leaves of unsynced bytes at a file offset.
-func (m *Memory) tear(offset int, unsynced []byte) []byte {
+// tornBytes returns what survives a crash of the unsynced bytes at a file offset.
+func (m *Memory) tornBytes(offset int, unsynced []byte) []byte {
 	if len(unsynced) == 0 {
 		return nil
 	}
@@ -69,25 +70,26 @@
 	return torn
 }
 
-// CrashAfter lets the given number of changing operations succeed, except that
-// the last of them, if a write, reports failure with its data in doubt. After
-// it every operation fails with ErrCrashed until Crash.
+// CrashAfter sets the crash point: the given number of modifying operations
+// succeed, except that the last of them, if it is a write, returns ErrCrashed and
+// its data may survive in part. From then on every operation fails with
+// ErrCrashed until Crash is called. A negative number clears the crash point.
 func (m *Memory) CrashAfter(operations int) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.steps = operations
+	m.operationsLeft = operations
 }
 
 // SetSpace lets the given number of bytes be written before writes fail with
-// ENOSPC. A negative number takes the limit away.
+// ENOSPC. A negative number removes the limit.
 func (m *Memory) SetSpace(limit int64) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.budget = max(limit, noLimit)
+	m.freeBytes = max(limit, noLimit)
 }
 
-// FlipBit inverts one bit of a file on stable storage. The bit counts from the
-// start of the file.
+// FlipBit inverts one bit of a file, also on stable storage. Bits are counted from
+// the start of the file.
 func (m *Memory) FlipBit(path string, bit int64) error {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -121,13 +123,14 @@
 	return bit, m.FlipBit(path, bit)
 }
 
-// LoseDisk models a replaced disk: nothing is left and open files die.
+// LoseDisk simulates the replacement of the disk: all files and directories are
+// gone, and open files become unusable.
 func (m *Memory) LoseDisk() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.generation++
-	m.steps = noLimit
+	m.operationsLeft = noLimit
 	m.directories = map[string]bool{}
 	m.names = map[string]*node{}
-	m.synced = map[string]*node{}
+	m.syncedNames = map[string]*node{}
 }
--- a/internal/vfs/memory_file.go
+++ b/internal/vfs/memory_file.go
@@ -17,12 +17,12 @@
 	closed     bool
 }
 
-// check says why the file cannot be used; the disk's mutex is held.
+// check returns an error if the file cannot be used. The caller holds the disk's mutex.
 func (f *memoryFile) check() error {
 	if f.closed {
 		return fs.ErrClosed
 	}
-	if f.generation != f.disk.generation || f.disk.steps == 0 {
+	if f.generation != f.disk.generation || f.disk.operationsLeft == 0 {
 		return ErrCrashed
 	}
 	return nil
@@ -43,9 +43,9 @@
 	return count, nil
 }
 
-// Write implements io.Writer. A write that meets the crash point leaves its
-// data unsynced, so that Crash may tear it; a write beyond the space budget
-// leaves the part that fitted.
+// Write implements io.Writer. The write at the crash point leaves its data
+// unsynced, so that Crash may tear it; a write that exceeds the free space
+// stores the part that fits.
 func (f *memoryFile) Write(data []byte) (int, error) {
 	f.disk.mutex.Lock()
 	defer f.disk.mutex.Unlock()
@@ -55,28 +55,28 @@
 	if !f.writable {
 		return 0, fs.ErrPermission
 	}
-	if err := f.disk.step(); err != nil {
+	if err := f.disk.countOperation(); err != nil {
 		return 0, err
 	}
-	fitting := f.disk.take(len(data))
-	f.node.content = append(f.node.content, data[:fitting]...)
-	if fitting < len(data) {
-		return fitting, &fs.PathError{Op: "write", Err: syscall.ENOSPC}
+	accepted := f.disk.reserveSpace(len(data))
+	f.node.content = append(f.node.content, data[:accepted]...)
+	if accepted < len(data) {
+		return accepted, &fs.PathError{Op: "write", Err: syscall.ENOSPC}
 	}
-	if f.disk.steps == 0 {
+	if f.disk.operationsLeft == 0 {
 		return 0, ErrCrashed
 	}
 	return len(data), nil
 }
 
-// take uses up to count bytes of the space budget.
-func (m *Memory) take(count int) int {
-	if m.budget == noLimit {
+// reserveSpace takes up to count bytes of the free space and returns how many it took.
+func (m *Memory) reserveSpace(count int) int {
+	if m.freeBytes == noLimit {
 		return count
 	}
-	fitting := min(int64(count), m.budget)
-	m.budget -= fitting
-	return int(fitting)
+	accepted := min(int64(count), m.freeBytes)
+	m.freeBytes -= accepted
+	return int(accepted)
 }
 
 // Sync implements File.
@@ -86,7 +86,7 @@
 	if err := f.check(); err != nil {
 		return err
 	}
-	if err := f.disk.step(); err != nil {
+	if err := f.disk.countOperation(); err != nil {
 		return err
 	}
 	f.node.synced = slices.Clone(f.node.content)
--- a/internal/vfs/system.go
+++ b/internal/vfs/system.go
@@ -10,7 +10,7 @@
 	directoryPermissions os.FileMode = 0o700
 )
 
-// System is the operating system's file system. Its zero value is ready.
+// System is the operating system's file system. Its zero value is ready to use.
 type System struct{}
 
 var _ FileSystem = System{}
@@ -30,7 +30,8 @@
 	return openFile(path, os.O_RDONLY)
 }
 
-// openFile avoids a non-nil File that holds a nil *os.File.
+// openFile returns a nil File on error, rather than a non-nil File that holds a
+// nil *os.File.
 func openFile(path string, flags int) (File, error) {
 	file, err := os.OpenFile(filepath.Clean(path), flags, filePermissions)
 	if err != nil {
@@ -65,8 +66,8 @@
 	return nil
 }
 
-// missingDirectories lists path and its parents that do not exist, deepest
-// first.
+// missingDirectories returns path and those of its parents that do not exist,
+// deepest first.
 func missingDirectories(path string) []string {
 	var missing []string
 	for {
--- a/internal/vfs/vfs_test.go
+++ b/internal/vfs/vfs_test.go
@@ -9,8 +9,8 @@
 	"testing"
 )
 
-// write appends data to a new file and syncs it if asked.
-func write(t *testing.T, disk FileSystem, path, data string, sync bool) {
+// createFile creates a file with the given data and syncs it if sync is set.
+func createFile(t *testing.T, disk FileSystem, path, data string, sync bool) {
 	t.Helper()
 	file, err := disk.Create(path)
 	must(t, err)
@@ -29,21 +29,22 @@
 	}
 }
 
-func content(t *testing.T, disk FileSystem, path string) string {
+func readString(t *testing.T, disk FileSystem, path string) string {
 	t.Helper()
 	data, err := ReadFile(disk, path)
 	must(t, err)
 	return string(data)
 }
 
-// TestSystemAndMemoryAgree runs the same operations on both file systems.
+// TestSystemAndMemoryAgree verifies that the same operations have the same results
+// on both file systems.
 func TestSystemAndMemoryAgree(t *testing.T) {
 	for _, disk := range []FileSystem{System{}, NewMemory(nil)} {
 		directory := filepath.Join(t.TempDir(), "a", "b")
 		path := filepath.Join(directory, "one")
 		must(t, disk.MkdirAll(directory))
 		must(t, WriteFileAtomic(disk, path, []byte("hello")))
-		write(t, disk, path+TemporarySuffix, "rest of a crash", true)
+		createFile(t, disk, path+TemporarySuffix, "rest of a crash", true)
 		must(t, RemoveTemporary(disk, directory))
 		file, err := disk.OpenAppend(path)
 		must(t, err)
@@ -51,7 +52,7 @@
 		must(t, err)
 		must(t, file.Close())
 		must(t, disk.Truncate(path, 8))
-		if got := content(t, disk, path); got != "hello wo" {
+		if got := readString(t, disk, path); got != "hello wo" {
 			t.Errorf("%T: content %q", disk, got)
 		}
 		size, err := disk.Size(path)
@@ -74,16 +75,16 @@
 func TestCrashDropsWhatWasNotSynced(t *testing.T) {
 	disk := NewMemory(nil)
 	must(t, disk.MkdirAll("/d"))
-	write(t, disk, "/d/kept", "synced", true)
+	createFile(t, disk, "/d/kept", "synced", true)
 	must(t, disk.SyncDir("/d"))
 	file, err := disk.OpenAppend("/d/kept")
 	must(t, err)
 	_, err = file.Write([]byte(" and lost"))
 	must(t, err)
-	write(t, disk, "/d/unnamed", "synced, but its name is not", true)
+	createFile(t, disk, "/d/unnamed", "synced, but its name is not", true)
 	must(t, disk.Rename("/d/kept", "/d/renamed"))
 	disk.Crash()
-	if got := content(t, disk, "/d/kept"); got != "synced" {
+	if got := readString(t, disk, "/d/kept"); got != "synced" {
 		t.Errorf("content after the crash: %q", got)
 	}
 	names, err := disk.ReadDir("/d")
@@ -92,7 +93,7 @@
 		t.Errorf("names after the crash: %v", names)
 	}
 	if _, err := file.Write([]byte("x")); !errors.Is(err, ErrCrashed) {
-		t.Errorf("write to a file of before the crash: %v", err)
+		t.Errorf("write to a file opened before the crash: %v", err)
 	}
 }
 
@@ -108,7 +109,7 @@
 	must(t, WriteFileAtomic(disk, "/d/one", []byte{0}))
 	must(t, disk.FlipBit("/d/one", 3))
 	disk.Crash()
-	if got := content(t, disk, "/d/one"); got != "\x08" {
+	if got := readString(t, disk, "/d/one"); got != "\x08" {
 		t.Errorf("content after a flipped bit: %q", got)
 	}
 	disk.CrashAfter(2)
@@ -122,8 +123,8 @@
 	}
 }
 
-// TestTornWritesAreSeeded shows that a tear keeps a part of the write, that
-// seeds differ, and that one seed gives one result.
+// TestTornWritesAreSeeded verifies that torn writes keep different parts of the
+// data for different seeds, and the same part for the same seed.
 func TestTornWritesAreSeeded(t *testing.T) {
 	seen := map[string]bool{}
 	for seed := range int64(40) {
@@ -134,7 +135,7 @@
 		seen[first] = true
 	}
 	if len(seen) < 5 {
-		t.Errorf("only %d different tears", len(seen))
+		t.Errorf("only %d different torn writes", len(seen))
 	}
 }
 
@@ -142,8 +143,8 @@
 	t.Helper()
 	disk := NewMemory(rand.New(rand.NewSource(seed)))
 	must(t, disk.MkdirAll("/d"))
-	write(t, disk, "/d/f", "unsynced", false)
+	createFile(t, disk, "/d/f", "unsynced", false)
 	must(t, disk.SyncDir("/d"))
 	disk.Crash()
-	return content(t, disk, "/d/f")
+	return readString(t, disk, "/d/f")
 }
