--- a/internal/story/losses.go
+++ b/internal/story/losses.go
@@ -15,54 +15,54 @@
 	"github.com/thorntiller/thorntiller/internal/telemetry"
 )
 
-// Loss counts requests that failed alike within one span of time.
+// Loss counts the requests of one service that failed in the same way within one time span.
 type Loss struct {
 	Service string
-	// Tenant is whose requests they were; empty unless tenants are told apart.
+	// Tenant is the tenant of the requests; empty unless losses are grouped by tenant.
 	Tenant string
-	// Kind is why the request failed in the end.
+	// Kind is the final error kind.
 	Kind fault.Kind
-	// Attempts are the kinds with which its attempts ended, in order; empty if it was
-	// sent to no instance.
+	// Attempts lists the error kinds of the attempts in order, separated by commas; empty if the
+	// request was not sent to any instance.
 	Attempts string
-	// Since is the beginning of the span.
+	// Since is the start of the span.
 	Since time.Time
-	// Requests is how many failed so.
+	// Requests is the number of failed requests.
 	Requests int
 }
 
-// endedRequest is what a line about a request tells.
-type endedRequest struct {
+// failedRequest holds the fields of a request_ended log line of a failed request.
+type failedRequest struct {
 	service  string
 	tenant   string
 	kind     fault.Kind
 	attempts []string
 }
 
-// Grouping says which losses count together.
+// Grouping selects how losses are grouped.
 type Grouping struct {
-	// Span is the time that one loss covers.
+	// Span is the length of the time span of one loss.
 	Span time.Duration
-	// ByTenant tells the requests of one tenant from those of others.
+	// ByTenant counts the requests of each tenant separately.
 	ByTenant bool
 }
 
-// Losses counts the failed requests that lines tell of, by spans of time that begin with
-// the first line; the most frequent first. Requests that were answered after a resend are
-// no losses.
+// Losses counts the failed requests in the log lines, grouped by service, tenant, error kinds and time
+// span, the most frequent first. Spans are aligned to multiples of grouping.Span, not to the first line.
+// Requests that were answered after a resend are not losses.
 func Losses(lines []Line, grouping Grouping) []Loss {
 	counts := make(map[Loss]int)
 	for _, line := range lines {
-		ended, failed := readEnded(line)
+		request, failed := readFailed(line)
 		if !failed {
 			continue
 		}
 		if !grouping.ByTenant {
-			ended.tenant = ""
+			request.tenant = ""
 		}
 		counts[Loss{
-			Service: ended.service, Tenant: ended.tenant, Kind: ended.kind,
-			Attempts: strings.Join(ended.attempts, ","), Since: line.At.Truncate(grouping.Span),
+			Service: request.service, Tenant: request.tenant, Kind: request.kind,
+			Attempts: strings.Join(request.attempts, ","), Since: line.At.Truncate(grouping.Span),
 		}]++
 	}
 	losses := make([]Loss, 0, len(counts))
@@ -77,25 +77,25 @@
 	return losses
 }
 
-// readEnded reads a line about a request that failed.
-func readEnded(line Line) (endedRequest, bool) {
-	var ended endedRequest
-	if line.Event != telemetry.EventRequestEnded || json.Unmarshal(line.Fields[telemetry.FieldKind], &ended.kind) != nil || ended.kind == "" {
-		return ended, false
+// readFailed parses the log line of a failed request; it returns false for all other lines.
+func readFailed(line Line) (failedRequest, bool) {
+	var request failedRequest
+	if line.Event != telemetry.EventRequestEnded || json.Unmarshal(line.Fields[telemetry.FieldKind], &request.kind) != nil || request.kind == "" {
+		return request, false
 	}
-	_ = json.Unmarshal(line.Fields[telemetry.FieldService], &ended.service) // a request without a route has none
-	_ = json.Unmarshal(line.Fields[telemetry.FieldTenant], &ended.tenant)   // one without an API key has none
+	_ = json.Unmarshal(line.Fields[telemetry.FieldService], &request.service) // absent if no route matched
+	_ = json.Unmarshal(line.Fields[telemetry.FieldTenant], &request.tenant)   // absent without an API key
 	var attempts []struct {
 		Kind string `json:"kind"`
 	}
-	_ = json.Unmarshal(line.Fields["attempts"], &attempts) // a request that was sent nowhere has none
+	_ = json.Unmarshal(line.Fields["attempts"], &attempts) // null if the request was not sent to any instance
 	for _, attempt := range attempts {
-		ended.attempts = append(ended.attempts, attempt.Kind)
+		request.attempts = append(request.attempts, attempt.Kind)
 	}
-	return ended, true
+	return request, true
 }
 
-// WriteLosses prints the most frequent losses as a table.
+// WriteLosses prints at most the given number of losses as a table.
 func WriteLosses(out io.Writer, losses []Loss, most int) error {
 	const row = "%8v  %-12s  %-14s  %-14s  %-22s  %s\n"
 	if _, err := fmt.Fprintf(out, row, "requests", "since", "service", "tenant", "cause", "attempts"); err != nil {
--- a/internal/story/losses_test.go
+++ b/internal/story/losses_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestLossesAreCounted: by service, cause, attempts and span; answered requests and other
-// events are left out.
+// TestLossesAreCounted checks that losses are grouped by service, error kind, attempts and time span,
+// and that answered requests and other events are not counted.
 func TestLossesAreCounted(t *testing.T) {
 	log := `
 0.1 gateway-1 {"ts":"2026-01-01T00:00:01.1Z","name":"g","event":"request_ended","service":"s","kind":"queue_full","attempts":null}
@@ -41,7 +41,7 @@
 	}
 }
 
-// TestLossesOfTenantsStandApart: only if that is asked for.
+// TestLossesOfTenantsStandApart checks that losses are grouped by tenant only with ByTenant.
 func TestLossesOfTenantsStandApart(t *testing.T) {
 	log := `
 0.1 g {"ts":"2026-01-01T00:00:01.1Z","name":"g","event":"request_ended","service":"s","tenant":"a","kind":"quota_exceeded"}
--- a/internal/story/story.go
+++ b/internal/story/story.go
@@ -1,6 +1,6 @@
-// Package story puts the log lines of several processes that concern one request in
-// order: its own lines, and what changed about the instances that it was sent to and
-// the holders of its key shortly before.
+// Package story builds the timeline of one request from the log lines of several processes: the lines
+// with the request's ID, and lines from about the same time on changes to the instances that it was
+// sent to, to the owners of its key and to the contact with the controllers. It also counts failed requests.
 package story
 
 import (
@@ -18,13 +18,14 @@
 	"github.com/thorntiller/thorntiller/internal/telemetry"
 )
 
-// before and after bound which lines about instances and keys belong to a request.
+// Lines about instances and keys are included from windowBefore the first line of a request to
+// windowAfter its last line.
 const (
-	before = 6 * time.Second
-	after  = 2 * time.Second
+	windowBefore = 6 * time.Second
+	windowAfter  = 2 * time.Second
 )
 
-// maxLineBytes bounds a log line.
+// maxLineBytes is the maximum length of a log line.
 const maxLineBytes = 4 << 20
 
 // Line is one log line.
@@ -38,8 +39,8 @@
 	text   string
 }
 
-// Read reads the log lines of a stream. What stands before the JSON of a line, as a
-// collector may put there, is passed over, and so are lines without JSON.
+// Read parses the log lines of a stream. It ignores any prefix before the JSON object, such as one added
+// by a log collector, and skips lines that are not valid log lines.
 func Read(stream io.Reader) ([]Line, error) {
 	scanner := bufio.NewScanner(stream)
 	scanner.Buffer(nil, maxLineBytes)
@@ -62,10 +63,10 @@
 		return Line{}, false
 	}
 	var at string
-	line.take(telemetry.FieldTime, &at)
-	line.take(telemetry.FieldName, &line.Process)
-	line.take(telemetry.FieldEvent, &line.Event)
-	line.take(telemetry.FieldMessage, &line.Message)
+	line.extract(telemetry.FieldTime, &at)
+	line.extract(telemetry.FieldName, &line.Process)
+	line.extract(telemetry.FieldEvent, &line.Event)
+	line.extract(telemetry.FieldMessage, &line.Message)
 	delete(line.Fields, telemetry.FieldLevel)
 	delete(line.Fields, telemetry.FieldRole)
 	parsed, err := time.Parse(time.RFC3339Nano, at)
@@ -73,40 +74,40 @@
 	return line, err == nil
 }
 
-// take moves a field out of Fields, if it can be read.
-func (l *Line) take(name string, target any) {
+// extract decodes a field into target and removes it from Fields; a field that cannot be decoded stays.
+func (l *Line) extract(name string, target any) {
 	if json.Unmarshal(l.Fields[name], target) == nil {
 		delete(l.Fields, name)
 	}
 }
 
-// subject is what the lines about a request name.
-type subject struct {
+// requestScope is the time range, the service, the key and the instances named in the log lines of a request.
+type requestScope struct {
 	first, last time.Time
 	service     string
 	key         *int
 	instances   map[string]bool
 }
 
-// Of returns the lines that belong to a request, in the order of their times. The
-// clocks of the processes may differ a little. The error says that no line names it.
+// Of returns the log lines related to a request, sorted by timestamp. The order is approximate because the
+// clocks of the processes may differ slightly. It returns an error if no line has the request's ID.
 func Of(id string, lines []Line) ([]Line, error) {
-	about, found := subjectOf(id, lines)
+	scope, found := scopeOf(id, lines)
 	if !found {
 		return nil, eris.Errorf("no line has %s %q: a request that an instance answered at once leaves none", telemetry.FieldRequest, id)
 	}
-	var chosen []Line
+	var selected []Line
 	for _, line := range lines {
-		if line.text != "" && (line.names(id) || about.concerns(line)) {
-			chosen = append(chosen, line)
+		if line.text != "" && (line.hasRequestID(id) || scope.concerns(line)) {
+			selected = append(selected, line)
 		}
 	}
-	slices.SortStableFunc(chosen, func(a, b Line) int { return cmp.Or(a.At.Compare(b.At), cmp.Compare(a.Process, b.Process)) })
-	return compact(chosen), nil
+	slices.SortStableFunc(selected, func(a, b Line) int { return cmp.Or(a.At.Compare(b.At), cmp.Compare(a.Process, b.Process)) })
+	return deduplicate(selected), nil
 }
 
-// compact leaves out what several replicas tell alike of one log index.
-func compact(lines []Line) []Line {
+// deduplicate removes lines that several replicas logged for the same log index with equal event and fields.
+func deduplicate(lines []Line) []Line {
 	seen := make(map[string]bool)
 	return slices.DeleteFunc(lines, func(line Line) bool {
 		index := string(line.Fields[telemetry.FieldIndex])
@@ -120,35 +121,35 @@
 	})
 }
 
-func (l Line) names(id string) bool {
+func (l Line) hasRequestID(id string) bool {
 	var named string
 	return json.Unmarshal(l.Fields[telemetry.FieldRequest], &named) == nil && named == id
 }
 
-func subjectOf(id string, lines []Line) (subject, bool) {
-	about := subject{instances: make(map[string]bool)}
+func scopeOf(id string, lines []Line) (requestScope, bool) {
+	scope := requestScope{instances: make(map[string]bool)}
 	found := false
 	for _, line := range lines {
-		if !line.names(id) {
+		if !line.hasRequestID(id) {
 			continue
 		}
-		if !found || line.At.Before(about.first) {
-			about.first = line.At
+		if !found || line.At.Before(scope.first) {
+			scope.first = line.At
 		}
-		if line.At.After(about.last) {
-			about.last = line.At
+		if line.At.After(scope.last) {
+			scope.last = line.At
 		}
 		found = true
-		about.learn(line)
+		scope.addLine(line)
 	}
-	return about, found
+	return scope, found
 }
 
-func (s *subject) learn(line Line) {
+func (s *requestScope) addLine(line Line) {
 	var attempts []struct {
 		Instance string `json:"instance"`
 	}
-	_ = json.Unmarshal(line.Fields["attempts"], &attempts) // other lines have none
+	_ = json.Unmarshal(line.Fields["attempts"], &attempts) // only request_ended lines have attempts
 	for _, attempt := range attempts {
 		s.instances[attempt.Instance] = true
 	}
@@ -159,10 +160,10 @@
 	}
 }
 
-// concerns reports whether a line tells of the instances, the holders of the key, or
-// the process's contact with the controllers, at about the time of the request.
-func (s subject) concerns(line Line) bool {
-	if line.At.Before(s.first.Add(-before)) || line.At.After(s.last.Add(after)) {
+// concerns reports whether a line, logged at about the time of the request, is about its instances, the
+// owners of its key, the controllers' leader or a lost connection to the controllers.
+func (s requestScope) concerns(line Line) bool {
+	if line.At.Before(s.first.Add(-windowBefore)) || line.At.After(s.last.Add(windowAfter)) {
 		return false
 	}
 	switch line.Event {
@@ -176,11 +177,11 @@
 	if json.Unmarshal(line.Fields[telemetry.FieldServer], &instance) == nil && s.instances[instance] {
 		return true
 	}
-	return s.holds(line)
+	return s.coversKey(line)
 }
 
-// holds reports whether a line tells of a holding with the request's key.
-func (s subject) holds(line Line) bool {
+// coversKey reports whether a line lists a holding (a range of keys) that includes the request's key.
+func (s requestScope) coversKey(line Line) bool {
 	var service string
 	var holdings []struct {
 		First int `json:"first"`
@@ -213,12 +214,12 @@
 	return text.String()
 }
 
-// Write prints lines for people.
+// Write prints the lines in a human-readable format.
 func Write(out io.Writer, lines []Line) error {
 	for _, line := range lines {
 		_, err := fmt.Fprintf(out, "%s %s %s: %s%s\n", line.At.Format("15:04:05.000"), line.Process, line.Event, line.Message, line.fieldsText())
 		if err != nil {
-			return eris.Wrap(err, "write the story")
+			return eris.Wrap(err, "write the request timeline")
 		}
 	}
 	return nil
--- a/internal/story/story_test.go
+++ b/internal/story/story_test.go
@@ -18,8 +18,8 @@
 {"ts":"2026-01-01T00:01:00Z","event":"leader_elected","name":"c2","msg":"this replica leads"}
 `
 
-// TestStoryOfARequest: its own lines, those about its instances and the holder of its
-// key at that time, once for all replicas, in order.
+// TestStoryOfARequest checks that the timeline has the request's own lines and those about its instances
+// and the owner of its key at that time, in order and without duplicates from several replicas.
 func TestStoryOfARequest(t *testing.T) {
 	read, err := Read(strings.NewReader(lines))
 	if err != nil {
