--- a/internal/fault/error.go
+++ b/internal/fault/error.go
@@ -6,8 +6,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// Error is a failure of a known kind. Detail is plain text for people and
-// names the field, the value and the remedy where input was wrong.
+// Error is a failure of a known kind. Detail is human-readable text; for invalid
+// input it names the field, the value and the remedy.
 type Error struct {
 	Kind   Kind
 	Detail string
@@ -28,7 +28,7 @@
 	return &Error{Kind: kind, Detail: fmt.Sprintf(format, arguments...)}
 }
 
-// KindOf returns the kind found in the error's chain, or Internal.
+// KindOf returns the kind of the first Error in the error's chain, or Internal if there is none.
 func KindOf(err error) Kind {
 	var typed *Error
 	if eris.As(err, &typed) {
@@ -37,14 +37,14 @@
 	return Internal
 }
 
-// Is reports whether the error's chain holds the given kind.
+// Is reports whether the first Error in the error's chain is of the given kind.
 func Is(err error, kind Kind) bool {
 	var typed *Error
 	return eris.As(err, &typed) && typed.Kind == kind
 }
 
-// From returns the typed error in the chain of an error, or one of kind
-// Internal when there is none.
+// From returns the first Error in the error's chain, or a new one of kind
+// Internal if there is none.
 func From(err error) *Error {
 	var typed *Error
 	if eris.As(err, &typed) {
--- a/internal/fault/kind.go
+++ b/internal/fault/kind.go
@@ -3,53 +3,54 @@
 import "time"
 
 // Kind names one class of failure. The list is closed: every kind has a row in
-// the answer table, and a test walks the whole list.
+// the answer table, and a test checks each row.
 type Kind string
 
 // Kinds of failure on the request path.
 const (
 	// InvalidRequest: the caller's request is malformed.
 	InvalidRequest Kind = "invalid_request"
-	// Unauthenticated: the request shows no API key that is known.
+	// Unauthenticated: the request has no known API key.
 	Unauthenticated Kind = "unauthenticated"
-	// QuotaExceeded: the tenant has asked for more than it may.
+	// QuotaExceeded: the tenant exceeded its quota.
 	QuotaExceeded Kind = "quota_exceeded"
 	// UnknownService: no service of that name is configured.
 	UnknownService Kind = "unknown_service"
-	// ServiceNotRouted: this router's settings leave the service out.
+	// ServiceNotRouted: this router's settings exclude the service.
 	ServiceNotRouted Kind = "service_not_routed"
-	// NoOwner: the shard of the key has no owner at present.
+	// NoOwner: the shard of the key currently has no owner.
 	NoOwner Kind = "no_owner"
-	// WrongEpoch: the back end does not hold the shard at the epoch sent.
+	// WrongEpoch: the back end does not own the shard at the epoch in the request.
 	WrongEpoch Kind = "wrong_epoch"
-	// LeaseExpired: the back end's lease had ended when execution was due.
+	// LeaseExpired: the back end's lease expired before execution started.
 	LeaseExpired Kind = "lease_expired"
-	// Draining: the back end is leaving and takes no new work.
+	// Draining: the back end is draining and accepts no new requests.
 	Draining Kind = "draining"
 	// Shedding: the back end refused the request to shed load.
 	Shedding Kind = "shedding"
-	// QueueFull: a bounded queue (router or back end) had no room.
+	// QueueFull: a bounded queue of the router or the back end was full.
 	QueueFull Kind = "queue_full"
 	// RateLimited: the service's admission limit was reached.
 	RateLimited Kind = "rate_limited"
-	// LinkCongested: the router's own network link is nearly full, so that the request was
-	// not taken on.
+	// LinkCongested: the router's own network link is nearly saturated, so the request was
+	// not accepted.
 	LinkCongested Kind = "link_congested"
-	// ServerLimited: the server named a limit of requests a second, which is used up.
+	// ServerLimited: the request rate limit that the server announced is used up.
 	ServerLimited Kind = "server_limited"
-	// ServerResting: the server rejected a request and wants none of this gateway for a time.
+	// ServerResting: the server rejected a request and asked this gateway to send none for some time.
 	ServerResting Kind = "server_resting"
-	// RequestQuarantined: servers crashed under the same request before, so that it is sent to none.
+	// RequestQuarantined: servers crashed while they executed the same request before, so it is
+	// not sent to any server.
 	RequestQuarantined Kind = "request_quarantined"
-	// ConnectFailed: no connection was made, so nothing was written.
+	// ConnectFailed: no connection was established, so nothing was sent.
 	ConnectFailed Kind = "connect_failed"
-	// DeadlineBeforeStart: the deadline passed before execution began.
+	// DeadlineBeforeStart: the deadline passed before execution started.
 	DeadlineBeforeStart Kind = "deadline_before_start"
-	// CancelledBeforeStart: a cancel was acknowledged as "never started".
+	// CancelledBeforeStart: the back end acknowledged a cancel as "never started".
 	CancelledBeforeStart Kind = "cancelled_before_start"
-	// DeadlineExceeded: the deadline passed while the outcome was open.
+	// DeadlineExceeded: the deadline passed while the outcome was unknown.
 	DeadlineExceeded Kind = "deadline_exceeded"
-	// ConnectionLost: the connection broke after the first byte went out.
+	// ConnectionLost: the connection broke after the first byte was sent.
 	ConnectionLost Kind = "connection_lost"
 	// AnswerTruncated: the back end's answer ended early.
 	AnswerTruncated Kind = "answer_truncated"
@@ -57,7 +58,7 @@
 	AnswerMismatched Kind = "answer_mismatched"
 	// StaleRouter: the router cannot prove its configuration is current.
 	StaleRouter Kind = "stale_router"
-	// RouterStopping: the router is shutting down and takes no new work.
+	// RouterStopping: the router is shutting down and accepts no new requests.
 	RouterStopping Kind = "router_stopping"
 	// RecordUnavailable: the idempotency record could not be stored, so the
 	// request was not dispatched.
@@ -69,43 +70,43 @@
 	KeyExpired Kind = "key_expired"
 	// KeyReused: the Idempotency-Key was used before with another request.
 	KeyReused Kind = "key_reused"
-	// DuplicateInProgress: the first request with this Idempotency-Key still
-	// runs and did not finish before this one's deadline.
+	// DuplicateInProgress: the first request with this Idempotency-Key is still
+	// running and did not finish before this one's deadline.
 	DuplicateInProgress Kind = "duplicate_in_progress"
 	// OutcomeUnknown: the first request with this Idempotency-Key ended with
-	// an unknown outcome, which is repeated to the resend.
+	// an unknown outcome, which is also the answer to the resend.
 	OutcomeUnknown Kind = "outcome_unknown"
 )
 
 // Kinds of failure on the intent API.
 const (
-	// InvalidArgument: a field of the intent is wrong.
+	// InvalidArgument: a field of the intent is invalid.
 	InvalidArgument Kind = "invalid_argument"
 	// NotFound: the named object does not exist.
 	NotFound Kind = "not_found"
 	// Conflict: the request identifier was used before with other content.
 	Conflict Kind = "conflict"
-	// IntentExpired: the intent's identifier is as old as forgotten ones, so that
-	// it cannot be told whether the intent was carried out before.
+	// IntentExpired: the intent's identifier is as old as identifiers that are no longer
+	// stored, so it is unknown whether the intent was already carried out.
 	IntentExpired Kind = "intent_expired"
-	// StalePlan: the state that the plan rests on has changed.
+	// StalePlan: the state that the plan is based on has changed.
 	StalePlan Kind = "stale_plan"
 	// NotLeader: this controller replica is not the leader.
 	NotLeader Kind = "not_leader"
 	// Unavailable: the controllers cannot reach a quorum.
 	Unavailable Kind = "unavailable"
-	// Unauthorized: the operator lacks the right for this call.
+	// Unauthorized: the operator does not have permission for this call.
 	Unauthorized Kind = "unauthorized"
 	// Internal: a defect of this program.
 	Internal Kind = "internal"
 )
 
-// Outcome states what is known about the execution of a request.
+// Outcome is what is known about the execution of a request.
 type Outcome string
 
 // Outcomes of a request.
 const (
-	// NotRun is said only where it is proved that the request did not execute.
+	// NotRun is used only if it is proved that the request did not execute.
 	NotRun Outcome = "not_run"
 	// Completed means the back end answered.
 	Completed Outcome = "completed"
@@ -113,17 +114,17 @@
 	Unknown Outcome = "unknown"
 )
 
-// Answer is the row of the table for one kind.
+// Answer is the row of the answer table for one kind.
 type Answer struct {
 	// Status is the HTTP status code.
 	Status int
 	// Outcome is what the caller may conclude about execution.
 	Outcome Outcome
-	// Resend tells whether the router may send the request again by itself.
+	// Resend is true if the router may resend the request on its own.
 	// It is true only for kinds whose outcome is NotRun.
 	Resend bool
-	// RetryAfter is the wait that the caller is told; zero means that no
-	// Retry-After header is sent.
+	// RetryAfter is the value of the Retry-After header; zero means that the
+	// header is not sent.
 	RetryAfter time.Duration
 }
 
--- a/internal/fault/kind_test.go
+++ b/internal/fault/kind_test.go
@@ -7,9 +7,9 @@
 	"testing"
 )
 
-// TestEveryKindIsOnTheOperatorsPage walks the closed list: the page shows each
-// kind's status, outcome and wait as the table of answers has them, and the
-// router resends by itself only what is proved not to have run.
+// TestEveryKindIsOnTheOperatorsPage checks that the page documents the status,
+// outcome and Retry-After of every kind as in the answer table, and that the
+// router resends only requests that are proved not to have run.
 func TestEveryKindIsOnTheOperatorsPage(t *testing.T) {
 	content, err := os.ReadFile("../../docs/OPERATIONS.md")
 	if err != nil {
@@ -27,7 +27,7 @@
 			t.Errorf("docs/OPERATIONS.md lacks the row %s", row[1:])
 		}
 		if answer.Resend && answer.Outcome != NotRun {
-			t.Errorf("%s may be sent again by the router, with outcome %s", kind, answer.Outcome)
+			t.Errorf("the router may resend after %s although its outcome is %s", kind, answer.Outcome)
 		}
 	}
 	if rows := strings.Count(page, "| not_run |") + strings.Count(page, "| unknown |"); rows != len(Kinds()) {
