--- a/internal/telemetry/event.go
+++ b/internal/telemetry/event.go
@@ -1,6 +1,6 @@
 package telemetry
 
-// Event names what a log line tells. The list is closed; docs/LOGS.md shows it.
+// Event is the event name of a log line. The list is closed and documented in docs/LOGS.md.
 type Event string
 
 // EventRow describes one event for docs/LOGS.md.
@@ -8,11 +8,11 @@
 	Event Event
 	// Level is the level at which the event is written.
 	Level string
-	// Meaning tells operators what happened.
+	// Meaning is the description for operators.
 	Meaning string
 }
 
-// Events of every process.
+// Events that all processes log.
 const (
 	EventStarted   Event = "started"
 	EventStopping  Event = "stopping"
@@ -28,7 +28,7 @@
 	EventCertificateFailed  Event = "certificate_failed"
 )
 
-// Events of the controllers.
+// Events that the controllers log.
 const (
 	EventGroupFormed       Event = "group_formed"
 	EventGroupJoined       Event = "group_joined"
@@ -66,7 +66,7 @@
 	EventQuarantine        Event = "quarantine"
 )
 
-// Events of the routers.
+// Events that the routers log.
 const (
 	EventTableSnapshot     Event = "table_snapshot"
 	EventTableDigest       Event = "table_digest_mismatch"
--- a/internal/telemetry/handler.go
+++ b/internal/telemetry/handler.go
@@ -13,8 +13,8 @@
 	PathMetrics = "/metrics"
 )
 
-// Ready reports whether the process can do its work and, if not, why. It must
-// be fast and safe for concurrent use.
+// Ready reports whether the process is ready to serve and, if not, the reason. It
+// must be fast and safe for concurrent use.
 type Ready func() (ready bool, reason string)
 
 // MetricsHandler serves the metrics in Prometheus's text format.
@@ -22,7 +22,7 @@
 	return fasthttpadaptor.NewFastHTTPHandler(promhttp.HandlerFor(metrics.Gatherer(), promhttp.HandlerOpts{}))
 }
 
-// LiveHandler answers 200 as long as the process can answer at all.
+// LiveHandler always answers 200: a process that can answer is alive.
 func LiveHandler() fasthttp.RequestHandler {
 	return func(context *fasthttp.RequestCtx) {
 		context.SetBodyString("live\n")
@@ -42,8 +42,8 @@
 	}
 }
 
-// Handler serves the health checks and the metrics by their paths; any other
-// path is 404.
+// Handler serves the health checks and the metrics at their paths and answers 404
+// for any other path.
 func Handler(metrics *Metrics, ready Ready) fasthttp.RequestHandler {
 	serveMetrics := MetricsHandler(metrics)
 	serveLive := LiveHandler()
--- a/internal/telemetry/log.go
+++ b/internal/telemetry/log.go
@@ -8,8 +8,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Names of the fields that log lines share. A field outside this list belongs
-// to one event.
+// Names of the fields that several events share. A field that is not in this list
+// is specific to one event.
 const (
 	FieldTime     = "ts"
 	FieldLevel    = "level"
@@ -32,16 +32,16 @@
 	FieldPlan     = "plan"
 	FieldOperator = "operator"
 	FieldRequest  = "request_id"
-	// FieldFingerprint names the same request under different identifiers.
+	// FieldFingerprint identifies requests with the same content but different request IDs.
 	FieldFingerprint = "fingerprint"
 	FieldKind        = "kind"
 	FieldCount       = "count"
 	FieldDuration    = "duration_ms"
 )
 
-// New returns a logger that writes one JSON object a line to out, each with the
-// role and the name of the process. The level is one of debug, info, warning
-// and error; any other one counts as info.
+// New returns a logger that writes one JSON object per line to out, each with the
+// role and the name of the process. The level is a logrus level such as debug,
+// info, warning or error; an unknown one means info.
 func New(role, name, level string, out io.Writer) *logrus.Entry {
 	logger := logrus.New()
 	logger.SetOutput(out)
@@ -60,13 +60,13 @@
 	return logger.WithFields(logrus.Fields{FieldRole: role, FieldName: name})
 }
 
-// With returns a logger whose lines carry the event.
+// With returns a logger that adds the event to its lines.
 func With(logger *logrus.Entry, event Event) *logrus.Entry {
 	return logger.WithField(FieldEvent, string(event))
 }
 
-// WithError returns a logger whose lines carry the event and the error's text
-// on one line, without a stack.
+// WithError returns a logger that adds the event and the error's text, on one line
+// and without a stack trace, to its lines.
 func WithError(logger *logrus.Entry, event Event, err error) *logrus.Entry {
 	return With(logger, event).WithField(FieldError, eris.ToString(err, false))
 }
--- a/internal/telemetry/queue.go
+++ b/internal/telemetry/queue.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// queuedLines bounds the log lines that wait to be written.
-	queuedLines = 1024
-	// queuedBytes bounds their memory.
-	queuedBytes = 1 << 20
-	// closeTimeout bounds the wait for them at the end of the process.
+	// maxQueuedLines is the maximum number of queued log lines.
+	maxQueuedLines = 1024
+	// maxQueuedBytes is the maximum total size of queued log lines.
+	maxQueuedBytes = 1 << 20
+	// closeTimeout is the maximum time that Close waits for queued lines to be written.
 	closeTimeout = time.Second
 )
 
-// Queue writes log lines beside the goroutines that log, so that nobody waits for a
-// slow reader of the log. Lines that find the queue full are dropped and counted; a
-// line says how many. It is safe for concurrent use.
+// Queue writes log lines in a goroutine of its own, so that a slow log reader does not block
+// the goroutines that log. If the queue is full, lines are dropped and counted, and a log
+// line reports the count. It is safe for concurrent use.
 type Queue struct {
 	out     io.Writer
 	lines   chan []byte
@@ -34,38 +34,38 @@
 
 // NewQueue returns a queue that writes to out until Close.
 func NewQueue(out io.Writer) *Queue {
-	q := &Queue{out: out, lines: make(chan []byte, queuedLines), ended: make(chan struct{})}
+	q := &Queue{out: out, lines: make(chan []byte, maxQueuedLines), ended: make(chan struct{})}
 	q.group.Go(q.run)
 	return q
 }
 
-// Write takes one line. It never waits and never fails.
+// Write queues one line, or drops it if the queue is full or closed. It never blocks and never returns an error.
 func (q *Queue) Write(line []byte) (int, error) {
-	if q.bytes.Load()+int64(len(line)) > queuedBytes {
+	if q.bytes.Load()+int64(len(line)) > maxQueuedBytes {
 		q.dropped.Add(1)
 		return len(line), nil
 	}
-	kept := append([]byte(nil), line...)
-	q.bytes.Add(int64(len(kept)))
+	lineCopy := append([]byte(nil), line...)
+	q.bytes.Add(int64(len(lineCopy)))
 	select {
-	case q.lines <- kept:
+	case q.lines <- lineCopy:
 	case <-q.ended:
-		q.bytes.Add(-int64(len(kept)))
+		q.bytes.Add(-int64(len(lineCopy)))
 	default:
-		q.bytes.Add(-int64(len(kept)))
+		q.bytes.Add(-int64(len(lineCopy)))
 		q.dropped.Add(1)
 	}
 	return len(line), nil
 }
 
-// Dropped returns how many lines were dropped and not told of yet.
+// Dropped returns the number of dropped lines that no log line has reported yet.
 func (q *Queue) Dropped() uint64 { return q.dropped.Load() }
 
 func (q *Queue) run() {
 	for {
 		select {
 		case line := <-q.lines:
-			q.emit(line)
+			q.writeLine(line)
 		case <-q.ended:
 			q.drain()
 			return
@@ -77,16 +77,16 @@
 	for {
 		select {
 		case line := <-q.lines:
-			q.emit(line)
+			q.writeLine(line)
 		default:
 			return
 		}
 	}
 }
 
-// emit writes a line, and before it how many were dropped. An error has nobody to
-// tell it to.
-func (q *Queue) emit(line []byte) {
+// writeLine writes a line, preceded by a line with the number of dropped lines if there are any.
+// Write errors are ignored because there is nowhere to report them.
+func (q *Queue) writeLine(line []byte) {
 	if dropped := q.dropped.Swap(0); dropped > 0 {
 		_, _ = fmt.Fprintf(q.out, "{%q:%q,%q:%q,%q:%q,%q:%d}\n", FieldTime, time.Now().Format(time.RFC3339Nano),
 			FieldLevel, levelWarning, FieldEvent, EventLinesDropped, FieldCount, dropped)
@@ -95,7 +95,7 @@
 	q.bytes.Add(-int64(len(line)))
 }
 
-// Close writes the lines that wait, for a bounded time.
+// Close writes the queued lines, and waits at most closeTimeout for that.
 func (q *Queue) Close() {
 	q.closing.Do(func() { close(q.ended) })
 	done := make(chan struct{})
--- a/internal/telemetry/queue_test.go
+++ b/internal/telemetry/queue_test.go
@@ -8,46 +8,46 @@
 	"testing"
 )
 
-// slowReader takes nothing until it is released.
-type slowReader struct {
+// blockedWriter blocks every write until released is closed.
+type blockedWriter struct {
 	mutex    sync.Mutex
 	released chan struct{}
-	taken    bytes.Buffer
+	written  bytes.Buffer
 }
 
-func (s *slowReader) Write(line []byte) (int, error) {
+func (s *blockedWriter) Write(line []byte) (int, error) {
 	<-s.released
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.taken.Write(line)
+	return s.written.Write(line)
 }
 
-// TestQueueNeverWaits: with a reader that takes nothing, more lines than fit are
-// written without a wait; those dropped are counted in a line of their own.
+// TestQueueNeverWaits checks that Write does not block while the output is blocked and more lines
+// arrive than fit into the queue, and that the dropped lines are counted in a line of their own.
 func TestQueueNeverWaits(t *testing.T) {
-	reader := &slowReader{released: make(chan struct{})}
-	queue := NewQueue(reader)
-	const lines = 3 * queuedLines
+	writer := &blockedWriter{released: make(chan struct{})}
+	queue := NewQueue(writer)
+	const lines = 3 * maxQueuedLines
 	for range lines {
 		if count, err := queue.Write([]byte("{}\n")); count != 3 || err != nil {
 			t.Fatal(count, err)
 		}
 	}
-	close(reader.released)
+	close(writer.released)
 	queue.Close()
-	text := reader.taken.String()
-	told := queue.Dropped()
+	text := writer.written.String()
+	dropped := queue.Dropped()
 	for line := range strings.SplitSeq(text, "\n") {
 		var notice struct {
 			Event Event  `json:"event"`
 			Count uint64 `json:"count"`
 		}
 		if json.Unmarshal([]byte(line), &notice) == nil && notice.Event == EventLinesDropped {
-			told += notice.Count
+			dropped += notice.Count
 		}
 	}
 	written := uint64(strings.Count(text, "{}\n"))
-	if told < lines-queuedLines-2 || written+told != lines {
-		t.Errorf("%d written and %d told as dropped of %d", written, told, lines)
+	if dropped < lines-maxQueuedLines-2 || written+dropped != lines {
+		t.Errorf("%d lines written and %d reported as dropped, of %d", written, dropped, lines)
 	}
 }
