--- a/internal/intentapi/call.go
+++ b/internal/intentapi/call.go
@@ -14,71 +14,70 @@
 	"github.com/thorntiller/thorntiller/internal/fault"
 )
 
-// dialTimeout bounds the making of one connection.
+// dialTimeout is the timeout for establishing one connection.
 const dialTimeout = 1 * time.Second
 
-// trial is the order in which one round tries endpoints. A leader hint moves
-// its endpoint to the front.
-type trial struct {
-	waiting []string
+// endpointQueue holds the endpoints of one round in the order in which they are tried. The leader
+// named in an answer is moved to the front.
+type endpointQueue struct {
+	untried []string
 	tried   []string
 }
 
-func newTrial(endpoints []string) *trial {
-	return &trial{waiting: slices.Clone(endpoints)}
+func newEndpointQueue(endpoints []string) *endpointQueue {
+	return &endpointQueue{untried: slices.Clone(endpoints)}
 }
 
-func (t *trial) next() (string, bool) {
-	if len(t.waiting) == 0 {
+func (q *endpointQueue) next() (string, bool) {
+	if len(q.untried) == 0 {
 		return "", false
 	}
-	endpoint := t.waiting[0]
-	t.waiting = t.waiting[1:]
-	t.tried = append(t.tried, endpoint)
+	endpoint := q.untried[0]
+	q.untried = q.untried[1:]
+	q.tried = append(q.tried, endpoint)
 	return endpoint, true
 }
 
-func (t *trial) hint(leader string) {
-	if leader == "" || slices.Contains(t.tried, leader) || len(t.tried) >= maxEndpoints {
+func (q *endpointQueue) moveToFront(leader string) {
+	if leader == "" || slices.Contains(q.tried, leader) || len(q.tried) >= maxEndpoints {
 		return
 	}
-	t.waiting = slices.DeleteFunc(t.waiting, func(endpoint string) bool { return endpoint == leader })
-	t.waiting = slices.Insert(t.waiting, 0, leader)
+	q.untried = slices.DeleteFunc(q.untried, func(endpoint string) bool { return endpoint == leader })
+	q.untried = slices.Insert(q.untried, 0, leader)
 }
 
-// call is one call of the intent API, whatever endpoint it goes to.
+// call is one call of the intent API, independent of the endpoint.
 type call struct {
 	method string
 	path   string
 	body   []byte
-	// answer receives the decoded body; nil drops it.
+	// answer receives the decoded body; if nil, the body is ignored.
 	answer any
-	// mayRepeat reports whether the call may be sent again after an error.
-	mayRepeat func(error) bool
+	// isRetryable reports whether the call may be resent after an error.
+	isRetryable func(error) bool
 }
 
-// repeat makes rounds over the endpoints, with back-off between them, until
-// one gives an answer that another try would not change, or the context ends.
-// The error is then the one of all rounds that says most.
-func (c *Client) repeat(ctx context.Context, call call) error {
+// callWithRetry tries all endpoints in rounds, with back-off between the rounds, until the call
+// succeeds, fails with an error that is not retryable, or the context ends. In the last case
+// it returns the error that preferredError selects from all rounds.
+func (c *Client) callWithRetry(ctx context.Context, call call) error {
 	var failure error
 	for attempt := 0; ; attempt++ {
-		err := c.round(ctx, call)
-		if err == nil || !call.mayRepeat(err) {
+		err := c.tryEndpoints(ctx, call)
+		if err == nil || !call.isRetryable(err) {
 			return err
 		}
-		failure = call.moreTelling(failure, err)
-		if wait(ctx, c.backoff(attempt)) != nil {
+		failure = call.preferredError(failure, err)
+		if sleep(ctx, c.backoff(attempt)) != nil {
 			return failure
 		}
 	}
 }
 
-// moreTelling picks one of two errors of a call. A write whose outcome was
-// unknown once keeps that error, since a later refusal says nothing of the
-// earlier attempt. A read keeps its earlier error when it merely ran out of
-// time later.
-func (c call) moreTelling(earlier, later error) error {
+// preferredError selects which of two errors of a call to return. For a write, an error with
+// an unknown outcome is kept, since a later refusal says nothing about the earlier
+// attempt. For a read, the earlier error is kept if the later one is only a timeout.
+func (c call) preferredError(earlier, later error) error {
 	if earlier == nil {
 		return later
 	}
@@ -91,30 +90,30 @@
 	return later
 }
 
-// round tries each endpoint once, following leader hints, and returns at the
-// first answer that another endpoint would not change. Without one it returns
-// the error that says most.
-func (c *Client) round(ctx context.Context, call call) error {
-	order := newTrial(c.config.Endpoints)
+// tryEndpoints tries each endpoint once, following leader hints, until the call succeeds or
+// fails with an error that is not retryable. If all endpoints fail, it returns the error
+// that preferredError selects.
+func (c *Client) tryEndpoints(ctx context.Context, call call) error {
+	queue := newEndpointQueue(c.config.Endpoints)
 	var failure error
 	for {
-		endpoint, found := order.next()
+		endpoint, found := queue.next()
 		if !found {
 			return failure
 		}
 		leader, err := c.send(ctx, endpoint, call)
-		if err == nil || !call.mayRepeat(err) {
+		if err == nil || !call.isRetryable(err) {
 			return err
 		}
-		order.hint(leader)
-		failure = call.moreTelling(failure, err)
+		queue.moveToFront(leader)
+		failure = call.preferredError(failure, err)
 		if ctx.Err() != nil {
 			return failure
 		}
 	}
 }
 
-// send makes one HTTP call. It returns the leader's address if the answer names
+// send makes one HTTP call. It returns the leader's address if the answer contains
 // it.
 func (c *Client) send(ctx context.Context, endpoint string, call call) (string, error) {
 	if ctx.Err() != nil {
@@ -162,9 +161,9 @@
 	return "", nil
 }
 
-// mayDiffer reports whether another endpoint, or a later try, may answer
-// otherwise.
-func mayDiffer(err error) bool {
+// isTransient reports whether the call may succeed at another endpoint or at a later
+// attempt.
+func isTransient(err error) bool {
 	switch fault.KindOf(err) {
 	case fault.NotLeader, fault.QueueFull, fault.Unavailable, fault.ConnectFailed, fault.ConnectionLost, fault.DeadlineExceeded,
 		fault.DeadlineBeforeStart, fault.AnswerTruncated:
@@ -174,8 +173,8 @@
 	}
 }
 
-// wasNotTaken reports whether the error proves that the call had no effect.
-func wasNotTaken(err error) bool {
+// hadNoEffect reports whether the error proves that the call had no effect.
+func hadNoEffect(err error) bool {
 	return fault.Is(err, fault.NotLeader) || fault.Is(err, fault.QueueFull) || fault.Is(err, fault.ConnectFailed)
 }
 
@@ -187,7 +186,7 @@
 	return fault.Is(err, fault.DeadlineExceeded) || fault.Is(err, fault.DeadlineBeforeStart)
 }
 
-// dialError marks errors from before the connection was made.
+// dialError marks errors that occurred before the connection was established.
 type dialError struct {
 	cause error
 }
@@ -195,8 +194,8 @@
 func (e *dialError) Error() string { return e.cause.Error() }
 func (e *dialError) Unwrap() error { return e.cause }
 
-// dial opens a connection. It encrypts it by itself, since each connection is to
-// take the newest certificates.
+// dial opens a connection. It sets up TLS itself, instead of the HTTP client, so that
+// each connection uses the newest certificates.
 func (c ClientConfig) dial(address string) (net.Conn, error) {
 	connection, err := c.connect(address)
 	if err != nil {
@@ -218,7 +217,7 @@
 	var failed *dialError
 	switch {
 	case errors.As(err, &failed):
-		return fault.Newf(fault.ConnectFailed, "%s cannot be reached: %v: check the address, and that the controller runs", endpoint, innermost(failed.cause))
+		return fault.Newf(fault.ConnectFailed, "%s cannot be reached: %v: check the address, and that the controller runs", endpoint, rootCause(failed.cause))
 	case errors.Is(err, fasthttp.ErrNoFreeConns):
 		return fault.Newf(fault.ConnectFailed, "%s: all connections are in use", endpoint)
 	case errors.Is(err, fasthttp.ErrTimeout):
@@ -232,17 +231,17 @@
 	}
 }
 
-// innermost returns the cause that the layers of an error wrap, which is the
-// part that tells a person something.
-func innermost(err error) error {
+// rootCause returns the innermost wrapped error, which is the part that is useful to a
+// person.
+func rootCause(err error) error {
 	for cause := errors.Unwrap(err); cause != nil; cause = errors.Unwrap(err) {
 		err = cause
 	}
 	return err
 }
 
-// backoff returns a wait between half of the bound for this attempt and all of
-// it, at random so that operators do not repeat in step.
+// backoff returns a random delay between half of the bound for this attempt and the
+// full bound, so that operators' clients do not retry in lockstep.
 func (c *Client) backoff(attempt int) time.Duration {
 	bound := c.config.BackoffBase
 	for range attempt {
@@ -251,7 +250,7 @@
 	return bound/2 + rand.N(bound/2+1)
 }
 
-func wait(ctx context.Context, duration time.Duration) error {
+func sleep(ctx context.Context, duration time.Duration) error {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
--- a/internal/intentapi/client.go
+++ b/internal/intentapi/client.go
@@ -25,37 +25,38 @@
 	DefaultMaxAnswerBytes = 64 << 20
 )
 
-// maxEndpoints bounds the endpoints that a client tries, leader hints included.
+// maxEndpoints is the maximum number of endpoints that a client tries, including
+// those from leader hints.
 const maxEndpoints = 16
 
-// ClientConfig configures a client. A zero field takes its default.
+// ClientConfig configures a client. Zero durations and sizes select the defaults.
 type ClientConfig struct {
 	// Endpoints are API addresses of controllers, IP:port.
 	Endpoints []string
-	// CallTimeout bounds one HTTP call.
+	// CallTimeout is the timeout of one HTTP call.
 	CallTimeout time.Duration
-	// BackoffBase is the wait after the first round in which no endpoint
-	// answered; it doubles up to BackoffMax.
+	// BackoffBase is the maximum delay after the first failed round; it doubles
+	// each round up to BackoffMax.
 	BackoffBase time.Duration
 	BackoffMax  time.Duration
-	// MaxAnswerBytes bounds the body of an answer.
+	// MaxAnswerBytes is the maximum size of the body of an answer.
 	MaxAnswerBytes int
 	// Certificates authenticate the client and the controllers; nil means plain
 	// text.
 	Certificates *certificate.Store
 }
 
-// Client calls the intent API. It finds the leader by itself and repeats calls
-// until the context ends: reads change nothing, a plan repeats its intent
-// identifier and a confirmation its plan identifier. It is safe for concurrent
-// use.
+// Client calls the intent API. It finds the leader and retries calls until the
+// context ends. Retries are safe: reads change nothing, a retried plan request has
+// the same intent identifier and a retried confirmation the same plan identifier.
+// Transfer and Status are not retried in this way. It is safe for concurrent use.
 type Client struct {
 	config    ClientConfig
 	transport *fasthttp.Client
 }
 
 // NewClient returns a client. It fails with fault.InvalidArgument without
-// endpoints.
+// endpoints or with more than maxEndpoints.
 func NewClient(config ClientConfig) (*Client, error) {
 	if len(config.Endpoints) == 0 || len(config.Endpoints) > maxEndpoints {
 		return nil, fault.Newf(fault.InvalidArgument, "endpoints: %d given; give 1 to %d API addresses, IP:port", len(config.Endpoints), maxEndpoints)
@@ -94,14 +95,14 @@
 	c.transport.CloseIdleConnections()
 }
 
-// Plan asks for a plan. A repeated intent gets the first answer again.
+// Plan requests a plan. A repeated intent gets the same answer again.
 func (c *Client) Plan(ctx context.Context, intent state.Intent) (state.Plan, error) {
 	var plan state.Plan
 	err := c.post(ctx, PathPlans, intent, &plan)
 	return plan, err
 }
 
-// Confirm confirms a stored plan. Confirming it again is without effect.
+// Confirm confirms a stored plan. Confirming it again has no effect.
 func (c *Client) Confirm(ctx context.Context, id state.PlanID, request ConfirmRequest) (state.Plan, error) {
 	var plan state.Plan
 	err := c.post(ctx, pathOf(PathConfirm, id), request, &plan)
@@ -150,33 +151,33 @@
 	return routers, err
 }
 
-// Tenants reads the tenants with their limits and their use.
+// Tenants reads the tenants with their limits and their usage.
 func (c *Client) Tenants(ctx context.Context) ([]Tenant, error) {
 	var tenants []Tenant
 	err := c.get(ctx, PathTenants, &tenants)
 	return tenants, err
 }
 
-// Directory reads the items, the instances and who holds which keys.
+// Directory reads the items, the instances and the owners of the keys.
 func (c *Client) Directory(ctx context.Context) (directory.Content, error) {
 	var content directory.Content
 	err := c.get(ctx, PathDirectory, &content)
 	return content, err
 }
 
-// Members reads the members of the group of controllers.
+// Members reads the members of the controller group.
 func (c *Client) Members(ctx context.Context) ([]consensus.Member, error) {
 	var members []consensus.Member
 	err := c.get(ctx, PathMembers, &members)
 	return members, err
 }
 
-// Transfer asks the leader to hand over its leadership. Unlike the other calls
-// it is not repeated once the leader may have taken it, since a repetition
+// Transfer asks the leader to hand over its leadership. Unlike the other calls,
+// it is not resent once the leader may have accepted it, since a second call
 // could move the leadership twice.
 func (c *Client) Transfer(ctx context.Context) error {
-	call := call{method: fasthttp.MethodPost, path: PathTransfer, mayRepeat: wasNotTaken}
-	return c.round(ctx, call)
+	call := call{method: fasthttp.MethodPost, path: PathTransfer, isRetryable: hadNoEffect}
+	return c.tryEndpoints(ctx, call)
 }
 
 // Status reads the status of the replica at one endpoint, leader or not.
@@ -191,7 +192,7 @@
 }
 
 func (c *Client) get(ctx context.Context, path string, answer any) error {
-	return c.repeat(ctx, call{method: fasthttp.MethodGet, path: path, answer: answer, mayRepeat: mayDiffer})
+	return c.callWithRetry(ctx, call{method: fasthttp.MethodGet, path: path, answer: answer, isRetryable: isTransient})
 }
 
 func (c *Client) post(ctx context.Context, path string, request, answer any) error {
@@ -199,5 +200,5 @@
 	if err != nil {
 		return eris.Wrap(err, "encode request")
 	}
-	return c.repeat(ctx, call{method: fasthttp.MethodPost, path: path, body: body, answer: answer, mayRepeat: mayDiffer})
+	return c.callWithRetry(ctx, call{method: fasthttp.MethodPost, path: path, body: body, answer: answer, isRetryable: isTransient})
 }
--- a/internal/intentapi/client_test.go
+++ b/internal/intentapi/client_test.go
@@ -15,7 +15,7 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
-// replica is a stand-in for one controller's API.
+// replica is a test server for the API of one controller.
 type replica struct {
 	address string
 	calls   atomic.Int32
@@ -42,7 +42,7 @@
 		if err := server.Shutdown(); err != nil {
 			t.Errorf("shut down: %v", err)
 		}
-		_ = listener.Close() // Shutdown leaves it open if Serve has not begun
+		_ = listener.Close() // Shutdown does not close the listener if Serve has not started
 		group.Wait()
 	})
 	return stub
@@ -73,17 +73,17 @@
 	context.Hijack(func(connection net.Conn) { _ = connection.Close() })
 }
 
-func client(t *testing.T, endpoints ...string) *Client {
+func newTestClient(t *testing.T, endpoints ...string) *Client {
 	t.Helper()
-	made, err := NewClient(ClientConfig{Endpoints: endpoints, BackoffBase: time.Millisecond, BackoffMax: time.Millisecond})
+	created, err := NewClient(ClientConfig{Endpoints: endpoints, BackoffBase: time.Millisecond, BackoffMax: time.Millisecond})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(made.Close)
-	return made
+	t.Cleanup(created.Close)
+	return created
 }
 
-func within(t *testing.T, limit time.Duration) context.Context {
+func contextWithTimeout(t *testing.T, limit time.Duration) context.Context {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	t.Cleanup(cancel)
@@ -94,7 +94,7 @@
 	leader := startReplica(t, answerPlan)
 	other := startReplica(t, refuse(fault.Internal, ""))
 	follower := startReplica(t, refuse(fault.NotLeader, leader.address))
-	plan, err := client(t, follower.address, other.address).Plan(within(t, time.Minute), state.Intent{ID: "i1"})
+	plan, err := newTestClient(t, follower.address, other.address).Plan(contextWithTimeout(t, time.Minute), state.Intent{ID: "i1"})
 	if err != nil || plan.Intent.ID != "i1" {
 		t.Fatalf("plan = %+v, %v", plan, err)
 	}
@@ -112,7 +112,7 @@
 		}
 		answerPlan(context)
 	})
-	if _, err := client(t, flaky.address).Plan(within(t, time.Minute), state.Intent{ID: "i1"}); err != nil {
+	if _, err := newTestClient(t, flaky.address).Plan(contextWithTimeout(t, time.Minute), state.Intent{ID: "i1"}); err != nil {
 		t.Fatal(err)
 	}
 	if flaky.calls.Load() != 4 {
@@ -120,8 +120,8 @@
 	}
 }
 
-// TestClientRepeatsWhileTheControllerIsBusy guards against an operator's call that fails at once with
-// "ask again", though it has not run and there is time left to ask again.
+// TestClientRepeatsWhileTheControllerIsBusy guards against a call that fails at once on a full queue, although
+// it was not executed and there is time left to retry.
 func TestClientRepeatsWhileTheControllerIsBusy(t *testing.T) {
 	var refusals atomic.Int32
 	busy := refuse(fault.QueueFull, "")
@@ -132,7 +132,7 @@
 		}
 		answerPlan(context)
 	})
-	if _, err := client(t, replica.address).Plan(within(t, time.Minute), state.Intent{ID: "i1"}); err != nil {
+	if _, err := newTestClient(t, replica.address).Plan(contextWithTimeout(t, time.Minute), state.Intent{ID: "i1"}); err != nil {
 		t.Fatal(err)
 	}
 	if replica.calls.Load() != 4 {
@@ -141,8 +141,8 @@
 }
 
 func TestClientKeepsUnknownOutcome(t *testing.T) {
-	// The first call is lost after it was sent, all later ones are refused: the
-	// refusals do not tell what became of the first.
+	// The connection of the first call is lost after the call was sent, and the later call is refused.
+	// The refusal does not show whether the first call was executed.
 	var calls atomic.Int32
 	refuseLeader := refuse(fault.NotLeader, "")
 	ctx, cancel := context.WithCancel(context.Background())
@@ -155,7 +155,7 @@
 		cancel()
 		refuseLeader(context)
 	})
-	_, err := client(t, replica.address).Confirm(ctx, "p1", ConfirmRequest{})
+	_, err := newTestClient(t, replica.address).Confirm(ctx, "p1", ConfirmRequest{})
 	if !fault.Is(err, fault.ConnectionLost) || calls.Load() != 2 {
 		t.Errorf("error %v after %d calls", err, calls.Load())
 	}
@@ -165,7 +165,7 @@
 	for _, kind := range []fault.Kind{fault.StalePlan, fault.Conflict, fault.InvalidArgument, fault.NotFound, fault.Unauthorized} {
 		first := startReplica(t, refuse(kind, ""))
 		second := startReplica(t, answerPlan)
-		_, err := client(t, first.address, second.address).Plan(within(t, time.Minute), state.Intent{})
+		_, err := newTestClient(t, first.address, second.address).Plan(contextWithTimeout(t, time.Minute), state.Intent{})
 		if !fault.Is(err, kind) || first.calls.Load() != 1 || second.calls.Load() != 0 {
 			t.Errorf("%s: error %v, calls %d and %d", kind, err, first.calls.Load(), second.calls.Load())
 		}
@@ -175,7 +175,7 @@
 func TestClientTransferIsSentOnce(t *testing.T) {
 	lost := startReplica(t, dropConnection)
 	other := startReplica(t, answerPlan)
-	err := client(t, lost.address, other.address).Transfer(within(t, time.Minute))
+	err := newTestClient(t, lost.address, other.address).Transfer(contextWithTimeout(t, time.Minute))
 	if !fault.Is(err, fault.ConnectionLost) || lost.calls.Load() != 1 || other.calls.Load() != 0 {
 		t.Errorf("error %v, calls %d and %d", err, lost.calls.Load(), other.calls.Load())
 	}
@@ -188,7 +188,7 @@
 	}
 	closed := listener.Addr().String()
 	_ = listener.Close()
-	if _, err := client(t, closed).Services(within(t, time.Second)); !fault.Is(err, fault.ConnectFailed) {
+	if _, err := newTestClient(t, closed).Services(contextWithTimeout(t, time.Second)); !fault.Is(err, fault.ConnectFailed) {
 		t.Errorf("error %v", err)
 	}
 	if _, err := NewClient(ClientConfig{}); !fault.Is(err, fault.InvalidArgument) {
@@ -203,7 +203,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(bounded.Close)
-	if _, err := bounded.Servers(within(t, time.Minute)); !fault.Is(err, fault.Internal) {
+	if _, err := bounded.Servers(contextWithTimeout(t, time.Minute)); !fault.Is(err, fault.Internal) {
 		t.Errorf("error %v", err)
 	}
 }
--- a/internal/intentapi/doc.go
+++ b/internal/intentapi/doc.go
@@ -1,3 +1,3 @@
-// Package intentapi holds the paths and JSON bodies of the intent API that the
-// controllers serve to operators, and the client that the command line uses.
+// Package intentapi defines the paths and JSON bodies of the intent API, which the
+// controllers serve to operators, and the client for the command line tool.
 package intentapi
--- a/internal/intentapi/types.go
+++ b/internal/intentapi/types.go
@@ -6,7 +6,7 @@
 	"github.com/thorntiller/thorntiller/internal/state"
 )
 
-// Paths of the intent API. A follower answers writes, and reads without
+// Paths of the intent API. A follower answers writes, and all reads except
 // PathStatus, with status 421 and an ErrorBody that names the leader.
 const (
 	// PathPlans takes state.Intent by POST and answers state.Plan; by GET it
@@ -51,11 +51,11 @@
 // ConfirmRequest confirms a stored plan.
 type ConfirmRequest struct {
 	Operator string `json:"operator"`
-	// Digest must equal the plan's digest: the operator confirms what was seen.
+	// Digest must equal the plan's digest, so that the operator confirms the plan that was displayed.
 	Digest string `json:"digest"`
 }
 
-// Status describes one controller replica and what it knows of the cluster.
+// Status describes one controller replica and its view of the cluster.
 type Status struct {
 	Cluster    string             `json:"cluster"`
 	Replica    string             `json:"replica"`
@@ -70,7 +70,7 @@
 	Revision state.Revision `json:"revision"`
 	// Current is true if the leader confirmed this answer with a quorum.
 	Current bool `json:"current"`
-	// Services, Servers and Routers summarise what is in force.
+	// Services, Servers and Routers summarise the configuration in force.
 	Services []ServiceStatus `json:"services"`
 	Servers  []ServerStatus  `json:"servers"`
 	Routers  []RouterStatus  `json:"routers"`
@@ -98,9 +98,9 @@
 	Shards  int                `json:"shards"`
 	// InForce is true once the server holds exactly its assignments.
 	InForce bool `json:"in_force"`
-	// Observed is true while the server serves by decision of its team's own
-	// scripts; Differences then counts the key ranges in which it and the
-	// imported map differ.
+	// Observed is true while the scripts of the server's team, not the controllers, decide
+	// what the server serves; Differences then counts the key ranges in which the server
+	// and the imported map differ.
 	Observed    bool `json:"observed"`
 	Differences int  `json:"differences"`
 }
@@ -112,28 +112,28 @@
 	Zone     string         `json:"zone"`
 	Open     bool           `json:"session_open"`
 	Revision state.Revision `json:"revision"`
-	// LagMs is the time since the router last proved that it is current.
+	// LagMs is the time in milliseconds since the router was last proved current.
 	LagMs int64 `json:"lag_ms"`
 	// InForce is true if the router has the newest table.
 	InForce bool `json:"in_force"`
-	// Problems tell how the router's settings do not fit those of the controllers
-	// or of other routers: field, value and remedy.
+	// Problems lists settings of the router that conflict with those of the controllers
+	// or of other routers, each with field, value and remedy.
 	Problems []string `json:"problems,omitempty"`
-	// Services are the only ones that the router routes; empty for all. InForce
-	// is said of their part of the table.
+	// Services lists the services that the router routes; empty means all. InForce
+	// refers only to their part of the table.
 	Services []state.ServiceName `json:"services,omitempty"`
 }
 
-// Tenant is a tenant as operators see it.
+// Tenant describes a tenant to operators.
 type Tenant struct {
 	Name string `json:"name"`
-	// Keys is how many API keys it has.
+	// Keys is the number of API keys of the tenant.
 	Keys           int      `json:"keys"`
 	Priority       *int     `json:"priority,omitempty"`
 	RatePerSecond  float64  `json:"rate_per_second,omitempty"`
 	Burst          float64  `json:"burst,omitempty"`
 	AllowedRegions []string `json:"allowed_regions,omitempty"`
-	// UsePerSecond is how many tokens a second gateways take, as the leader counts them; zero
-	// for a tenant without a limit.
+	// UsePerSecond is the number of tokens that gateways take per second, as counted by the leader;
+	// zero for a tenant without a limit.
 	UsePerSecond float64 `json:"use_per_second"`
 }
