--- a/internal/callerapi/doc.go
+++ b/internal/callerapi/doc.go
@@ -1,9 +1,9 @@
-// Package callerapi holds the published HTTP interface between callers and
+// Package callerapi defines the published HTTP interface between callers and
 // routers: the path layout, the headers, and the JSON body of a refusal.
-// Callers need none of this project's code; this package serves the router and
-// the stand-in callers.
+// Callers do not need this project's code; this package is for the router and
+// the simulated callers.
 //
-// A caller sends METHOD http://<router>/<service>/<path>. The router answers
-// the back end's answer whole, or a refusal whose kind comes from the closed
-// list of package fault.
+// A caller sends METHOD http://<router>/<service>/<path>. The router returns
+// either the back end's complete answer or a refusal whose kind is from the
+// closed list of package fault.
 package callerapi
