--- a/internal/backendapi/doc.go
+++ b/internal/backendapi/doc.go
@@ -1,5 +1,5 @@
-// Package backendapi holds the published HTTP interface of back ends, as
-// described in docs/BACKEND.md: paths, headers, and JSON bodies. Back ends
-// need none of this project's code; this package serves the product's side
-// and the stand-ins.
+// Package backendapi defines the published HTTP interface of back ends, as
+// described in docs/BACKEND.md: paths, headers, and JSON bodies. Back ends do
+// not need this project's code; this package is for routers, gateways and controllers
+// and for the simulated back ends.
 package backendapi
