--- a/internal/platformapi/types.go
+++ b/internal/platformapi/types.go
@@ -1,19 +1,19 @@
 package platformapi
 
 // PathMachines answers MachineList by GET and takes Machine by POST, which
-// adds the machine or changes the one of the same ID.
+// adds the machine or updates the one with the same ID.
 const PathMachines = "/machines"
 
-// MachineState is what the platform says of a machine.
+// MachineState is the state of a machine as reported by the platform.
 type MachineState string
 
 // States of a machine.
 const (
-	// MachineLive: the machine runs and stays.
+	// MachineLive: the machine is running and is to stay.
 	MachineLive MachineState = "live"
-	// MachineLeaving: the machine still runs but is to be taken away.
+	// MachineLeaving: the machine is still running but is to be removed.
 	MachineLeaving MachineState = "leaving"
-	// MachineGone: the platform took the machine away.
+	// MachineGone: the platform has removed the machine.
 	MachineGone MachineState = "gone"
 )
 
@@ -26,9 +26,9 @@
 	State   MachineState `json:"state"`
 }
 
-// MachineList is the body that GET PathMachines answers: a JSON array, ordered
-// by ID, of at most MaxMachines entries.
+// MachineList is the body of the answer to GET PathMachines: a JSON array, sorted
+// by ID, with at most MaxMachines entries.
 type MachineList []Machine
 
-// MaxMachines bounds the list.
+// MaxMachines is the maximum length of MachineList.
 const MaxMachines = 100_000
