--- a/internal/state/active.go
+++ b/internal/state/active.go
@@ -6,10 +6,11 @@
 	"slices"
 )
 
-// activeIndex holds the shards that need work, by kind of work.
+// activeIndex indexes the shards that the controllers must act on, by the kind of action.
 type activeIndex struct {
 	unowned map[ServiceName]map[ShardID]struct{}
-	// revoking shards are to be released; targeted ones are owned and to move.
+	// revoking holds shards that their owners must release; targeted holds owned
+	// shards with a pending move.
 	revoking map[ShardID]struct{}
 	targeted map[ShardID]struct{}
 }
@@ -49,8 +50,8 @@
 	}
 }
 
-// ActiveShards returns the shards that need work: unowned, revoking, or owned
-// with a target. They come by identifier.
+// ActiveShards returns the shards that the controllers must act on (unowned,
+// revoking, or owned with a target), sorted by identifier.
 func (s *State) ActiveShards() []Shard {
 	shards := slices.Concat(s.RevokingShards(), s.TargetedShards())
 	for _, service := range s.UnownedServices() {
@@ -60,7 +61,7 @@
 	return shards
 }
 
-// ActiveCount returns how many shards need work.
+// ActiveCount returns the number of shards that ActiveShards returns.
 func (s *State) ActiveCount() int {
 	count := len(s.active.revoking) + len(s.active.targeted)
 	for _, unowned := range s.active.unowned {
@@ -69,23 +70,23 @@
 	return count
 }
 
-// RevokingShards returns the shards that their owners are to release, by
+// RevokingShards returns the shards that their owners must release, sorted by
 // identifier.
 func (s *State) RevokingShards() []Shard { return s.shardsByID(s.active.revoking) }
 
-// TargetedShards returns the owned shards that are to move, by identifier.
+// TargetedShards returns the owned shards with a pending move, sorted by identifier.
 func (s *State) TargetedShards() []Shard { return s.shardsByID(s.active.targeted) }
 
-// UnownedServices returns the services with shards that have no owner, by name.
+// UnownedServices returns the services that have unowned shards, sorted by name.
 func (s *State) UnownedServices() []ServiceName {
 	return slices.Sorted(maps.Keys(s.active.unowned))
 }
 
-// UnownedCount returns how many shards of a service have no owner.
+// UnownedCount returns the number of unowned shards of a service.
 func (s *State) UnownedCount(service ServiceName) int { return len(s.active.unowned[service]) }
 
-// UnownedShards returns up to limit shards of a service that have no owner, the
-// lowest identifiers first. It costs one pass over those without an owner.
+// UnownedShards returns up to limit unowned shards of a service, lowest
+// identifiers first. It collects and sorts all unowned shards of the service.
 func (s *State) UnownedShards(service ServiceName, limit int) []Shard {
 	ids := make([]ShardID, 0, len(s.active.unowned[service]))
 	for id := range s.active.unowned[service] {
--- a/internal/state/apply.go
+++ b/internal/state/apply.go
@@ -7,17 +7,17 @@
 	"github.com/thorntiller/thorntiller/internal/fault"
 )
 
-// transaction collects the changes of one command.
+// transaction collects the changes made by one command.
 type transaction struct {
 	state    *State
 	revision Revision
 	changed  []Object
-	// repeated is true if an object may have been changed a second time.
+	// repeated is true if an object may have been changed more than once.
 	repeated bool
 }
 
-// Apply executes the command that stands at a log index. The result's error
-// leaves the routing table as it was.
+// Apply executes the command at a log index. If the result has an error, the
+// routing table is unchanged.
 func (s *State) Apply(index uint64, command Command) Result {
 	tx := &transaction{state: s, revision: Revision(index)}
 	s.differences = make(SectionDigests)
@@ -33,7 +33,7 @@
 	return result
 }
 
-// objectKey identifies an object, as Object.Key does, without making a string.
+// objectKey identifies an object as Object.Key does, without allocating a string.
 type objectKey struct {
 	kind   objectKind
 	name   string
@@ -68,8 +68,8 @@
 	}
 }
 
-// newestVersions keeps the last version of each object, since a command may
-// change an object more than once. A table takes each object once in a delta.
+// newestVersions keeps only the last version of each object, since a command may
+// change an object more than once and a delta must contain each object once.
 func newestVersions(changed []Object) []Object {
 	last := make(map[objectKey]int, len(changed))
 	for position, object := range changed {
@@ -177,7 +177,7 @@
 
 func (tx *transaction) openSessions(command *OpenSessions) Result {
 	for _, session := range command.Sessions {
-		// The refusal of one says nothing about the others.
+		// Each session is handled independently: a rejected one does not affect the others.
 		_ = tx.openSession(&session)
 	}
 	return Result{}
@@ -201,14 +201,14 @@
 
 func (tx *transaction) closeSessions(command *CloseSessions) Result {
 	for _, session := range command.Sessions {
-		// The refusal of one says nothing about the others.
+		// Each session is handled independently: a rejected one does not affect the others.
 		_ = tx.closeSession(&session)
 	}
 	return Result{}
 }
 
-// disown makes a shard unowned. Its epoch stays, so that the next assignment
-// rises above it.
+// disown makes a shard unowned. It keeps the epoch, so that the next assignment
+// gets a higher one.
 func (tx *transaction) disown(shard Shard) {
 	shard.Phase = ShardUnowned
 	shard.Owner = ""
@@ -293,8 +293,8 @@
 	if found && previous.Session.Open {
 		return failure(fault.Conflict, "the router's session is still open")
 	}
-	// The revision rises and is never used twice, so that a session of a router
-	// that was forgotten meanwhile cannot be taken for a new one.
+	// Revisions increase and are never reused, so an old session of a router whose
+	// entry was deleted in the meantime cannot be mistaken for a new one.
 	router.Session.Number = SessionNumber(tx.revision)
 	router.Session.Open = true
 	router.Revision = tx.revision
@@ -314,12 +314,14 @@
 	return Result{}
 }
 
-// MaxClosedRouters bounds the routers without a session that are kept. Routers
-// come and go under new names for as long as the cluster lives.
+// MaxClosedRouters limits the number of routers without an open session that are
+// kept. Without a limit they accumulate, because routers are replaced under new
+// names over the lifetime of the cluster.
 const MaxClosedRouters = 256
 
-// forgetRouters deletes the routers that were closed first, beyond the bound and
-// but for those that a record partition names.
+// forgetRouters deletes the routers that were closed first until MaxClosedRouters
+// remain. Routers that are the primary or the backup of a record partition are
+// neither counted nor deleted.
 func (tx *transaction) forgetRouters() {
 	placed := make(map[RouterID]bool)
 	for _, partition := range tx.state.partitions {
@@ -354,7 +356,7 @@
 }
 
 // keepsRoles reports whether the partition differs from its previous version only in that its backup
-// now holds every record, or that there is no former copy any more.
+// is now synced, its former copy was dropped, or both.
 func keepsRoles(previous, partition RecordPartition) bool {
 	wanted := previous
 	wanted.Revision = partition.Revision
--- a/internal/state/apply_bench_test.go
+++ b/internal/state/apply_bench_test.go
@@ -4,9 +4,9 @@
 	"testing"
 )
 
-// BenchmarkZoneApplied is what the apply of a zone's loss costs for each change
-// of a shard: the sessions of a seventh of the servers are closed, and their
-// shards go to the others in batches.
+// BenchmarkZoneApplied measures the cost per shard change of applying the loss of a
+// zone: the sessions of one seventh of the servers are closed, and their shards are
+// reassigned to the other servers in batches.
 func BenchmarkZoneApplied(b *testing.B) {
 	const zones, shards, batch = 7, 530_000, 2048
 	changes := 0
@@ -38,7 +38,7 @@
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(changes), "ns/change")
 }
 
-// BenchmarkCreateApplied is the apply of one plan that creates every shard.
+// BenchmarkCreateApplied measures applying one plan that creates every shard.
 func BenchmarkCreateApplied(b *testing.B) {
 	for _, shards := range benchmarkSizes {
 		b.Run("", func(b *testing.B) {
--- a/internal/state/apply_directory.go
+++ b/internal/state/apply_directory.go
@@ -8,7 +8,7 @@
 )
 
 // Directory returns the directory of items, instances and the keys that they
-// hold. The caller only reads it.
+// hold. The caller must not modify it.
 func (s *State) Directory() *directory.Directory { return s.directory }
 
 func (tx *transaction) changeDirectory(command directory.Command) Result {
@@ -26,7 +26,7 @@
 	return failure(fault.Internal, err.Error())
 }
 
-// changeZone marks the servers of a zone that was evacuated or restored.
+// changeZone updates the servers of a zone that was evacuated or restored.
 func (tx *transaction) changeZone(zone directory.Zone) {
 	for _, server := range tx.state.Servers() {
 		if server.Zone == zone.Name && server.Evacuated != zone.Evacuated {
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// release takes a request out of quarantine, which checkRelease has allowed.
+// release takes a request out of quarantine. checkRelease must have accepted it.
 func (tx *transaction) release(request ReleaseRequest) {
 	if fingerprint, err := directory.ParseFingerprint(request.Fingerprint); err == nil {
 		tx.changeDirectory(directory.Command{Release: &fingerprint})
--- a/internal/state/apply_merge.go
+++ b/internal/state/apply_merge.go
@@ -6,8 +6,8 @@
 	"github.com/thorntiller/thorntiller/internal/fault"
 )
 
-// mergeShards joins pairs of neighbours of services whose policy allows it, all
-// or none of them.
+// mergeShards merges pairs of adjacent shards of services whose policy allows it.
+// Either all pairs are merged or none.
 func (tx *transaction) mergeShards(command *MergeShards) Result {
 	used := make(map[ShardID]bool, 2*len(command.Merges))
 	left := make(map[ServiceName]int)
@@ -31,8 +31,8 @@
 	return Result{}
 }
 
-// policyProblem says why the controllers may not make a number of merges in a
-// service by themselves, or nothing.
+// policyProblem returns the reason why the service's policy does not allow the
+// controllers this number of automatic merges, or "" if it does.
 func (tx *transaction) policyProblem(name ServiceName, merges int) string {
 	service, _ := tx.state.Service(name)
 	if !service.Placement.Automatic || !service.Placement.Merge {
@@ -44,9 +44,10 @@
 	return ""
 }
 
-// mergeProblem says why two shards cannot be merged, or nothing. Both must be
-// owned, at rest and at their epochs, by one server in the session named: a
-// shard that is changing hands keeps its identifier until it has.
+// mergeProblem returns the reason why two shards cannot be merged, or "" if they
+// can. Both must be at the given epochs, without a pending move, and owned by the
+// given server in the given session. A shard that is changing owners must keep
+// its identifier until the move is complete.
 func (tx *transaction) mergeProblem(merge ShardMerge) string {
 	first, found := tx.state.Shard(merge.First.Shard)
 	if !found {
@@ -76,7 +77,8 @@
 	return ""
 }
 
-// restProblem says why a shard is not at rest with an owner at an epoch.
+// restProblem returns the reason why a shard is not stably owned by a server at an
+// epoch, or "" if it is.
 func restProblem(shard Shard, epoch Epoch, owner ServerID) string {
 	switch {
 	case shard.Phase != ShardOwned || shard.Target != "":
@@ -92,9 +94,10 @@
 	return "shard " + strconv.FormatUint(uint64(id), 10)
 }
 
-// merge joins two neighbours. The epoch rises above both, so that for every key
-// a request under the earlier shard can be told from one under this: a back end
-// refuses the one until it holds the new set, and the other from then on.
+// merge merges two adjacent shards. The new epoch is above both old ones, so that
+// for every key a request routed by an old shard can be told from one routed by
+// the merged shard: a back end rejects the latter until it has the new shard set,
+// and the former from then on.
 func (tx *transaction) merge(merge ShardMerge) {
 	first, _ := tx.state.Shard(merge.First.Shard)
 	second, _ := tx.state.Shard(merge.Second.Shard)
--- a/internal/state/apply_merge_test.go
+++ b/internal/state/apply_merge_test.go
@@ -12,7 +12,7 @@
 	"github.com/thorntiller/thorntiller/internal/fault"
 )
 
-// mergeOf names a shard and the one after it as they are now.
+// mergeOf returns the merge of a shard with the next one at their current epochs.
 func (m *machine) mergeOf(first Shard) ShardMerge {
 	second, _ := m.state.ShardAt(first.Service, first.Range.Last+1)
 	owner, _ := m.state.Server(first.Owner)
@@ -22,14 +22,14 @@
 	}
 }
 
-// mergeAt merges a shard with the next one, if that may be.
+// mergeAt merges a shard with the next one, if the state allows it.
 func (m *machine) mergeAt(first Shard) {
 	merge := m.mergeOf(first)
 	m.confirm(PlanID(rune('k'+m.index)), Operation{MergeShards: &merge})
 }
 
-// withMerges has four shards, of which the first three are a's at the epochs 1,
-// 2 and 1, and a policy that allows merges down to three shards.
+// withMerges returns a service with four shards, the first three owned by a at the
+// epochs 1, 2 and 1, and a policy that allows merges down to three shards.
 func withMerges(t *testing.T) *machine {
 	m := withService(t, 4)
 	for _, shard := range []ShardID{1, 2, 3} {
@@ -123,7 +123,7 @@
 	}
 }
 
-// covered reports whether the shards cover the key space exactly once.
+// covered reports whether the shards cover the key space without gap or overlap.
 func (m *machine) covered() bool {
 	next := uint64(0)
 	shards := m.state.ShardsOf("s")
@@ -137,8 +137,8 @@
 	return len(shards) > 0
 }
 
-// follows reports whether a key's shard may come after the one that it had: its
-// epoch never falls, and rises with a new owner and with a wider range.
+// follows reports whether a key's shard is a valid successor of its previous shard:
+// the epoch never decreases, and increases with a new owner and with a wider range.
 func follows(before, after Shard) bool {
 	moved := before.Owner != "" && after.Owner != "" && before.Owner != after.Owner
 	if moved || after.Range.Width() > before.Range.Width() {
--- a/internal/state/apply_mode.go
+++ b/internal/state/apply_mode.go
@@ -6,9 +6,9 @@
 	"github.com/thorntiller/thorntiller/internal/fault"
 )
 
-// checkObserveRanges requires that the service is observed, and that each owner
-// is one of its servers. Within the plan that creates the service its servers
-// may not exist yet; the planner has checked them.
+// checkObserveRanges verifies that the service is observed and that each owner is
+// one of its servers. In a plan that creates the service, the servers may not
+// exist yet; the planner has checked them.
 func (tx *transaction) checkObserveRanges(command *ObserveRanges, created bool) *fault.Error {
 	if created {
 		return nil
@@ -26,8 +26,9 @@
 	return nil
 }
 
-// observeRanges routes by an imported map. Shards are cut where the map asks for
-// it and change owner at once: the scripts have decided already.
+// observeRanges applies an imported ownership map. Shards are split at the map's
+// boundaries and change owner immediately, without revocation, because the team's
+// scripts have already made the change.
 func (tx *transaction) observeRanges(command *ObserveRanges) {
 	if len(tx.state.ranges[command.Service]) == 0 {
 		for _, owned := range command.Ranges {
@@ -43,7 +44,7 @@
 	}
 }
 
-// observe gives every shard within a range to its observed owner.
+// observe assigns every shard within a range to its observed owner.
 func (tx *transaction) observe(service ServiceName, owned OwnedRange) {
 	for _, shard := range tx.state.ShardsWithin(service, owned.Range) {
 		if shard.Owner == owned.Server {
@@ -55,8 +56,8 @@
 	}
 }
 
-// checkChangeMode requires that ownership is at rest, so that a shard which is
-// about to change hands does not change authority as well.
+// checkChangeMode verifies that no shard of the service is moving or unowned, so
+// that no shard changes its owner and its managing authority at the same time.
 func (tx *transaction) checkChangeMode(command *ChangeMode) *fault.Error {
 	service, found := tx.state.Service(command.Service)
 	if !found || service.Revision != command.Revision {
@@ -68,9 +69,9 @@
 	return nil
 }
 
-// changeMode switches the authority over a service. Sessions end with every
-// switch and shards keep their owners: a session that begins after the switch
-// is a fresh one, for which nothing that was granted before counts.
+// changeMode switches a service between observed and managed. Shards keep their
+// owners, but every open session is closed: a session opened after the switch is
+// new, and nothing granted before the switch is valid for it.
 func (tx *transaction) changeMode(command *ChangeMode) {
 	service, _ := tx.state.Service(command.Service)
 	service.Mode = command.Mode
--- a/internal/state/apply_plan.go
+++ b/internal/state/apply_plan.go
@@ -9,8 +9,8 @@
 	"github.com/thorntiller/thorntiller/internal/fault"
 )
 
-// storePlan stores the answer to an intent. A resend with the same content gets
-// the first answer; the same identifier with other content is a conflict.
+// storePlan stores the plan for an intent. A retry with the same content gets the
+// stored plan; the same identifier with different content is a conflict.
 func (tx *transaction) storePlan(command *StorePlan) Result {
 	existing, found := tx.state.Plan(command.Plan.ID)
 	if !found {
@@ -28,8 +28,8 @@
 	return Result{Plan: &existing}
 }
 
-// sameIntent compares what is asked for. Two operators who ask for the same
-// under one identifier get the same answer.
+// sameIntent compares two intents, ignoring the operator: two operators who submit
+// the same content under one identifier get the same plan.
 func sameIntent(first, second Intent) bool {
 	first.Operator, second.Operator = "", ""
 	encodedFirst, errFirst := codec.Marshal(&first)
@@ -37,7 +37,7 @@
 	return errFirst == nil && errSecond == nil && bytes.Equal(encodedFirst, encodedSecond)
 }
 
-// confirmPlan applies a stored plan as a whole or not at all.
+// confirmPlan applies a stored plan atomically.
 func (tx *transaction) confirmPlan(command *ConfirmPlan) Result {
 	plan, found := tx.state.Plan(command.Plan)
 	if !found {
@@ -68,7 +68,7 @@
 	return Result{Plan: &plan}
 }
 
-// checkPlan verifies that everything the plan rests on is still as planned.
+// checkPlan verifies that the state the plan depends on has not changed since planning.
 func (tx *transaction) checkPlan(plan Plan) *fault.Error {
 	created := false
 	for _, operation := range plan.Operations {
@@ -228,8 +228,9 @@
 	return template.ID
 }
 
-// isolateKey cuts a shard so that one hash stands alone and is to move. The
-// parts keep owner and epoch, since their owner does not change yet.
+// isolateKey splits a shard so that one hash gets a shard of its own, and sets that
+// shard's target. The parts keep owner and epoch, since the owner does not change
+// yet.
 func (tx *transaction) isolateKey(command *IsolateKey) {
 	whole, _ := tx.state.Shard(command.Shard)
 	tx.cut(whole.Service, command.Hash)
@@ -241,8 +242,8 @@
 	tx.putShard(alone)
 }
 
-// cut splits the shard that holds a hash, so that a shard begins there. The
-// lower part keeps the identifier.
+// cut splits the shard that contains a hash so that a shard begins at the hash.
+// The lower part keeps the identifier.
 func (tx *transaction) cut(service ServiceName, first uint64) {
 	shard, found := tx.state.ShardAt(service, first)
 	if !found || shard.Range.First == first {
--- a/internal/state/apply_split.go
+++ b/internal/state/apply_split.go
@@ -1,7 +1,7 @@
 package state
 
-// splitShards cuts parts off shards of services whose policy allows it. The
-// parts keep owner and epoch, since the owner does not change yet.
+// splitShards splits shards of services whose policy allows it. The parts keep
+// owner and epoch, since the owner does not change yet.
 func (tx *transaction) splitShards(command *SplitShards) Result {
 	for _, part := range command.Parts {
 		shard, found := tx.state.Shard(part.Shard)
@@ -28,7 +28,7 @@
 	return inside && part.Range != shard.Range
 }
 
-// cutOut makes a part of a shard a shard of its own.
+// cutOut splits a shard so that the given part of its range becomes a separate shard.
 func (tx *transaction) cutOut(whole Shard, part KeyRange) {
 	if whole.Range.First < part.First {
 		tx.cut(whole.Service, part.First)
@@ -38,13 +38,13 @@
 	}
 }
 
-// takes reports whether a server of the service can be a target.
+// takes reports whether a server belongs to the service and can be the target of a move.
 func (tx *transaction) takes(id ServerID, service ServiceName) bool {
 	server, found := tx.state.Server(id)
 	return found && server.Service == service && server.Session.Open && server.Intent == ServerActive
 }
 
-// aim gives the part its target, if it has one.
+// aim sets the target of the shard that was split off, if the part names one.
 func (tx *transaction) aim(service ServiceName, part ShardPart) {
 	shard, found := tx.state.ShardAt(service, part.Range.First)
 	if found && part.To != "" {
--- a/internal/state/apply_split_test.go
+++ b/internal/state/apply_split_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Splits keep owner, epoch and coverage, and happen only as the service's
-// policy allows, at the epoch that was decided on.
+// Splits keep owner, epoch and coverage, and are made only if the service's policy
+// allows them and the shard still has the epoch given in the command.
 func TestSplitShards(t *testing.T) {
 	m := withService(t, 2)
 	m.assign(1, "a")
--- a/internal/state/apply_test.go
+++ b/internal/state/apply_test.go
@@ -11,7 +11,7 @@
 	"github.com/thorntiller/thorntiller/internal/fault"
 )
 
-// machine applies commands at rising indexes.
+// machine applies commands at increasing log indexes.
 type machine struct {
 	t     *testing.T
 	state *State
@@ -37,7 +37,8 @@
 	return m.apply(Command{ConfirmPlan: &ConfirmPlan{Plan: id}})
 }
 
-// withService has service s with two open servers and the given shards.
+// withService returns a machine with service s, two servers with open sessions and the
+// given shards.
 func withService(t *testing.T, shards int) *machine {
 	t.Helper()
 	m := newMachine(t)
--- a/internal/state/close_test.go
+++ b/internal/state/close_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// TestCloseSessions: each session of an entry stands for itself, so that one
-// which was closed or opened anew meanwhile neither ends nor holds up the others.
+// TestCloseSessions checks that the sessions of one command are handled independently:
+// one that was closed or reopened in the meantime is not closed and does not prevent
+// the others from being closed.
 func TestCloseSessions(t *testing.T) {
 	reopened := []Command{
 		{CloseSession: &CloseSession{Server: "a", Session: 1}},
@@ -28,7 +29,7 @@
 				m.apply(command)
 			}
 			for _, id := range []ServerID{"a", "b"} {
-				m.assign(1, id) // of two, the first that is open gets it
+				m.assign(1, id) // the first of the two servers with an open session gets it
 				m.assign(2, "b")
 			}
 			encoded, err := Command{CloseSessions: &CloseSessions{Sessions: tried.closed}}.Encode()
--- a/internal/state/command.go
+++ b/internal/state/command.go
@@ -29,19 +29,19 @@
 	Directory *directory.Command `msgpack:",omitempty"`
 }
 
-// StorePlan stores the plan that answers an intent.
+// StorePlan stores the plan made for an intent.
 type StorePlan struct {
 	Plan Plan
 }
 
-// ConfirmPlan applies a stored plan if the state that it rests on still holds.
+// ConfirmPlan applies a stored plan if the state that it depends on has not changed.
 type ConfirmPlan struct {
 	Plan     PlanID
 	Digest   string
 	Operator string
 }
 
-// OpenSession begins contact with a server process.
+// OpenSession opens a session for a server process.
 type OpenSession struct {
 	Server      ServerID
 	Incarnation string
@@ -50,39 +50,39 @@
 	After SessionNumber
 }
 
-// OpenSessions does so for several servers. One whose session changed meanwhile
-// is left out: each stands for itself.
+// OpenSessions opens sessions for several servers. Each is handled independently:
+// a server whose session changed in the meantime is skipped.
 type OpenSessions struct {
 	Sessions []OpenSession
 }
 
-// CloseSession says that the lease of a session has surely ended. It makes the
-// server's shards unowned.
+// CloseSession closes a session whose lease is certain to have expired. It makes
+// the server's shards unowned.
 type CloseSession struct {
 	Server  ServerID
 	Session SessionNumber
 }
 
-// CloseSessions says the same of several sessions. One that is not open any
-// more is left out: each stands for itself.
+// CloseSessions closes several sessions whose leases are certain to have expired.
+// Each is handled independently: a session that is no longer open is skipped.
 type CloseSessions struct {
 	Sessions []CloseSession
 }
 
-// ShardEpoch names a shard at one epoch.
+// ShardEpoch identifies a shard at one epoch.
 type ShardEpoch struct {
 	Shard ShardID `json:"shard"`
 	Epoch Epoch   `json:"epoch"`
 }
 
-// ReleaseShards says that the owner acknowledged the revocation of shards and
-// executes none of their requests.
+// ReleaseShards records that the owner acknowledged the revocation of shards and
+// no longer executes any of their requests.
 type ReleaseShards struct {
 	Server ServerID
 	Shards []ShardEpoch
 }
 
-// ShardAssignment gives an unowned shard, last owned at Epoch, to a server. The
+// ShardAssignment assigns an unowned shard, last owned at Epoch, to a server. The
 // shard's epoch becomes Epoch + 1.
 type ShardAssignment struct {
 	Shard   ShardID
@@ -91,24 +91,24 @@
 	Session SessionNumber
 }
 
-// AssignShards gives unowned shards to servers with open sessions.
+// AssignShards assigns unowned shards to servers with open sessions.
 type AssignShards struct {
 	Assignments []ShardAssignment
 }
 
-// RevokeShards begins moves that the controllers decided on by themselves, as
-// for a machine that the platform says is leaving.
+// RevokeShards starts moves that the controllers decided on without a plan, for
+// example off a machine that the platform is about to remove.
 type RevokeShards struct {
 	Moves []MoveShard
 }
 
-// SplitShards cuts parts off shards, as the service's policy allows. A part that may not be cut is left out.
+// SplitShards splits parts off shards, as the service's policy allows. A part that may not be split off is skipped.
 type SplitShards struct {
 	Parts []ShardPart
 }
 
-// ShardPart is a part of a shard at one epoch. With To set, the part is to move
-// there.
+// ShardPart is a part of a shard at one epoch. If To is set, the part is to move to
+// that server.
 type ShardPart struct {
 	Shard ShardID
 	Epoch Epoch
@@ -116,24 +116,24 @@
 	To    ServerID
 }
 
-// MergeShards joins pairs of neighbours, as the service's policy allows. It is
-// refused as a whole, with the kind conflict, unless every pair may be merged.
+// MergeShards merges pairs of adjacent shards, as the service's policy allows. It
+// fails as a whole, with the kind conflict, unless every pair may be merged.
 type MergeShards struct {
 	Merges []ShardMerge
 }
 
-// ShardMerge joins two shards of one service that one server owns: the range of
-// Second begins right after that of First. First stays, at an epoch above both,
-// and Second is gone.
+// ShardMerge merges two shards of one service that have the same owner. The range
+// of Second must begin right after that of First. First takes both ranges, at an
+// epoch above both, and Second is deleted.
 type ShardMerge struct {
 	First  ShardEpoch `json:"first"`
 	Second ShardEpoch `json:"second"`
-	// Owner must own both, in its open session Session.
+	// Owner must own both shards, and Session must be its open session.
 	Owner   ServerID      `json:"owner"`
 	Session SessionNumber `json:"session"`
 }
 
-// SetLeaving records the platform's word on a server's machine.
+// SetLeaving records whether the platform reports that a server's machine is leaving.
 type SetLeaving struct {
 	Server  ServerID
 	Leaving bool
@@ -149,14 +149,14 @@
 	Router Router
 }
 
-// CloseRouter says that a router's lease has surely ended.
+// CloseRouter closes the session of a router whose lease is certain to have expired.
 type CloseRouter struct {
 	Router  RouterID
 	Session SessionNumber
 }
 
-// PutPartitions replaces record partitions, each only if its epoch is still
-// the one before. At the same epoch it may only set BackupSynced and drop the former copy.
+// PutPartitions replaces record partitions, each only if the new epoch is the stored
+// epoch + 1. At the stored epoch it may only set BackupSynced and drop the former copy.
 type PutPartitions struct {
 	Partitions []RecordPartition
 }
@@ -170,7 +170,7 @@
 	return encoded, nil
 }
 
-// DecodeCommand reverses Encode.
+// DecodeCommand decodes a command that Encode encoded.
 func DecodeCommand(encoded []byte) (Command, error) {
 	var command Command
 	if err := codec.Unmarshal(encoded, &command); err != nil {
--- a/internal/state/digest.go
+++ b/internal/state/digest.go
@@ -9,8 +9,8 @@
 	"github.com/thorntiller/thorntiller/internal/codec"
 )
 
-// ObjectDigest returns the xxhash of the object's msgpack encoding; zero for a
-// deleted object. The digest of a table is the exclusive-or over its objects.
+// ObjectDigest returns the xxhash of the object's msgpack encoding, or zero for a
+// deleted object. The digest of a table is the XOR of the digests of its objects.
 func ObjectDigest(object Object) uint64 {
 	if object.Deleted {
 		return 0
@@ -20,18 +20,19 @@
 	}
 	encoded, err := codec.Marshal(&object)
 	if err != nil {
-		// The types hold no value that msgpack cannot encode.
+		// Unreachable: msgpack can encode every field of an object.
 		panic("state: encode object: " + err.Error())
 	}
 	return xxhash.Sum64(encoded)
 }
 
-// shardRoom is enough for a shard whose names are of usual length.
+// shardRoom is the initial buffer size in bytes, enough for a shard with names of
+// usual length.
 const shardRoom = 256
 
-// shardDigest is the digest of a shard's object. The loss of a zone changes tens of
-// thousands of shards within the time of a lease, so that the fields are encoded
-// one by one, without reflection.
+// shardDigest returns the digest of an object that holds the shard. The fields are
+// encoded one by one, without reflection, because the loss of a zone changes tens of
+// thousands of shards within the duration of a lease.
 func shardDigest(shard *Shard) uint64 {
 	var room [shardRoom]byte
 	encoded := bytes.NewBuffer(room[:0])
@@ -39,8 +40,8 @@
 	return xxhash.Sum64(encoded.Bytes())
 }
 
-// encodeShardObject writes what codec.Marshal makes of an object that holds the
-// shard alone.
+// encodeShardObject writes the same bytes as codec.Marshal does for an object that
+// holds the shard.
 func encodeShardObject(encoded *bytes.Buffer, shard *Shard) {
 	fields := fieldEncoder{encoder: msgpack.GetEncoder()}
 	defer msgpack.PutEncoder(fields.encoder)
@@ -59,12 +60,13 @@
 	fields.optional("t", string(shard.Target))
 	fields.number("v", uint64(shard.Revision))
 	if fields.failed != nil {
-		// A buffer takes all that is written to it.
+		// Unreachable: writes to a bytes.Buffer do not fail.
 		panic("state: encode shard: " + fields.failed.Error())
 	}
 }
 
-// shardFieldCount returns how many fields are encoded; empty names are left out.
+// shardFieldCount returns the number of encoded fields; an empty owner or target is
+// omitted.
 func shardFieldCount(shard *Shard) int {
 	const always = 6
 	count := always
@@ -89,7 +91,8 @@
 	}
 }
 
-// open begins an object that holds one other of so many fields.
+// open begins a map with the single entry name, itself a map with the given number
+// of fields.
 func (f *fieldEncoder) open(name string, fields int) {
 	f.size(1)
 	f.name(name)
--- a/internal/state/digest_test.go
+++ b/internal/state/digest_test.go
@@ -14,17 +14,17 @@
 	"github.com/thorntiller/thorntiller/internal/codec"
 )
 
-// edges are values at which msgpack changes the form of an integer.
+// edges are values at which msgpack changes the encoding of an integer.
 var edges = []any{
 	uint64(0), uint64(0x7f), uint64(0x80), uint64(math.MaxUint8), uint64(math.MaxUint8 + 1), uint64(math.MaxUint16),
 	uint64(math.MaxUint16 + 1), uint64(math.MaxUint32), uint64(math.MaxUint32 + 1), uint64(math.MaxUint64),
 }
 
-// lengths are those at which msgpack changes the form of a string.
+// lengths are those at which msgpack changes the encoding of a string.
 var lengths = []any{0, 1, 31, 32, 255, 256, 65_535, 65_536}
 
-// TestShardDigest compares the bytes that the digest is taken of with the codec's:
-// controllers and routers of two versions must agree on them.
+// TestShardDigest compares the bytes that are hashed with the codec's encoding:
+// controllers and routers of different versions must agree on them.
 func TestShardDigest(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(1))
 	number := gen.OneGenOf(gen.OneConstOf(edges...), gen.UInt64())
@@ -47,7 +47,7 @@
 	properties.TestingRun(t)
 }
 
-// TestShardFields fails when a shard gets a field that its digest leaves out.
+// TestShardFields fails if a field is added to Shard that the digest omits.
 func TestShardFields(t *testing.T) {
 	const known = 8
 	if fields := reflect.TypeFor[Shard]().NumField(); fields != known {
--- a/internal/state/object.go
+++ b/internal/state/object.go
@@ -6,7 +6,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// HashKey returns the 64-bit hash that places a key in a service's key space.
+// HashKey returns the 64-bit hash that is a key's position in its service's key space.
 func HashKey(key string) uint64 {
 	return xxhash.Sum64String(key)
 }
@@ -19,7 +19,7 @@
 // keySpace is the number of key hashes.
 const keySpace = float64(1<<63) * 2
 
-// Width returns the share of the whole key space that the range covers, 0 to 1.
+// Width returns the fraction (0 to 1) of the key space that the range covers.
 func (r KeyRange) Width() float64 {
 	return (float64(r.Last-r.First) + 1) / keySpace
 }
--- a/internal/state/open_test.go
+++ b/internal/state/open_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// TestOpenSessions: each session of an entry stands for itself, so that one which
-// was opened meanwhile neither begins anew nor holds up the others.
+// TestOpenSessions checks that the sessions of one command are handled independently:
+// one that was opened in the meantime is not reopened and does not prevent the others
+// from being opened.
 func TestOpenSessions(t *testing.T) {
 	m := withService(t, 4)
 	m.confirm("retire", Operation{PutServer: &Server{ID: "c", Service: "s", Intent: ServerRetired}},
--- a/internal/state/partitions_test.go
+++ b/internal/state/partitions_test.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// TestDeltaNamesEachObjectOnce guards routers against a delta in which the
-// digest of an object counts twice.
+// TestDeltaNamesEachObjectOnce guards against a delta that contains an object twice,
+// whose digest routers would count twice.
 func TestDeltaNamesEachObjectOnce(t *testing.T) {
 	m := withService(t, 1)
 	m.assign(1, "a")
@@ -67,7 +67,7 @@
 	}
 }
 
-// partitionOfEarlierVersions is RecordPartition as processes of earlier versions have it.
+// partitionOfEarlierVersions is RecordPartition as defined in earlier versions.
 type partitionOfEarlierVersions struct {
 	Number         int
 	Primary        RouterID
@@ -80,8 +80,8 @@
 	Revision       Revision
 }
 
-// TestPartitionsOfTwoVersions: without a former copy a partition has the form, and so the digest, that
-// earlier versions know; a state file of theirs can be read.
+// TestPartitionsOfTwoVersions checks that a partition without a former copy has the same encoding, and
+// so the same digest, as in earlier versions, and that their state files can be read.
 func TestPartitionsOfTwoVersions(t *testing.T) {
 	earlier, err := codec.Marshal(&partitionOfEarlierVersions{Number: 3, Primary: "a", PrimarySession: 1, Backup: "b", BackupSession: 2, Epoch: 5, BackupSynced: true, Revision: 9})
 	if err != nil {
--- a/internal/state/plan.go
+++ b/internal/state/plan.go
@@ -28,8 +28,8 @@
 // Intent is what an operator asks for. Exactly one of the pointer fields is
 // set, the one that Kind names.
 type Intent struct {
-	// ID is chosen by the operator. A resend with the same content gets the
-	// first answer again; with other content it gets a conflict.
+	// ID is chosen by the operator. A retry with the same content gets the
+	// original answer; with different content it gets a conflict.
 	ID            IntentID         `json:"intent_id"`
 	Operator      string           `json:"operator"`
 	Kind          IntentKind       `json:"kind"`
@@ -54,17 +54,17 @@
 	RetryRatio       float64 `json:"retry_ratio"`
 	MaxMoves         int     `json:"max_moves"`
 	Weights          Weights `json:"weights"`
-	// Placement is the policy for moves without a plan.
+	// Placement is the policy for moves that the controllers make without a plan.
 	Placement PlacementPolicy `json:"placement"`
 }
 
-// CreateService asks for a new service. Shards is the number of equal key
-// ranges that it starts with; zero for services without keys.
+// CreateService requests a new service. Shards is the initial number of equal key
+// ranges; zero for services without keys.
 type CreateService struct {
 	Name  ServiceName `json:"name"`
 	Keyed bool        `json:"keyed"`
-	// Mode is managed when empty. An observed service with keys needs Map in
-	// place of Shards.
+	// Mode defaults to managed. An observed service with keys requires Map instead
+	// of Shards.
 	Mode     ServiceMode     `json:"mode,omitempty"`
 	Shards   int             `json:"shards"`
 	Settings ServiceSettings `json:"settings"`
@@ -87,26 +87,27 @@
 	Connections int      `json:"connections"`
 }
 
-// AddServers asks for more servers in a service.
+// AddServers requests that servers are added to a service.
 type AddServers struct {
 	Service ServiceName  `json:"service"`
 	Servers []ServerSpec `json:"servers"`
 }
 
-// MoveKey asks that one key gets another owner. The key's shard is split so
-// that the key moves alone. To may be empty: placement then chooses.
+// MoveKey requests another owner for one key. The key's shard is split so that only
+// the key moves. If To is empty, placement chooses the new owner.
 type MoveKey struct {
 	Service ServiceName `json:"service"`
 	Key     string      `json:"key"`
 	To      ServerID    `json:"to"`
 }
 
-// RetireServer asks that a server gives up its shards and gets no new work.
+// RetireServer requests that a server releases its shards and gets no new work.
 type RetireServer struct {
 	Server ServerID `json:"server"`
 }
 
-// Rebalance asks placement for moves that pay for themselves.
+// Rebalance requests the moves whose gain in balance exceeds their cost under the
+// service's Weights.
 type Rebalance struct {
 	Service ServiceName `json:"service"`
 }
@@ -115,11 +116,12 @@
 type SetMode struct {
 	Service ServiceName `json:"service"`
 	Mode    ServiceMode `json:"mode"`
-	// Map is the scripts' ownership, for services that are observed already.
+	// Map is the ownership decided by the team's scripts, for services that are already
+	// observed.
 	Map OwnershipMap `json:"map"`
 }
 
-// MergeNeighbours asks that two neighbours with the same owner become one shard.
+// MergeNeighbours requests that two adjacent shards with the same owner are merged.
 // Their order does not matter.
 type MergeNeighbours struct {
 	Service ServiceName `json:"service"`
@@ -127,49 +129,50 @@
 	Second  ShardID     `json:"second"`
 }
 
-// ZoneRequest asks that the servers and instances of a zone get no requests and no keys,
-// or that they get them again.
+// ZoneRequest requests that the servers and instances of a zone stop receiving requests and
+// keys, or that they receive them again.
 type ZoneRequest struct {
 	Zone string `json:"zone"`
 }
 
-// ReleaseRequest asks that a request in quarantine is sent to servers again. One more crash puts it
-// back.
+// ReleaseRequest requests that a quarantined request is sent to servers again. One more crash
+// returns it to quarantine.
 type ReleaseRequest struct {
-	// Fingerprint names the request, in hexadecimal digits.
+	// Fingerprint identifies the request, in hexadecimal.
 	Fingerprint string `json:"fingerprint"`
 }
 
-// OwnershipMap is the ownership that a team's own scripts decided. Keys go
-// before Ranges, and both before Rest.
+// OwnershipMap is the ownership decided by a team's own scripts. Keys take precedence
+// over Ranges, and both over Rest.
 type OwnershipMap struct {
 	Ranges []OwnedRange `json:"ranges,omitempty"`
 	Keys   []OwnedKey   `json:"keys,omitempty"`
-	// Rest owns every key that neither list names; empty if the ranges cover
-	// the whole key space.
+	// Rest owns every key that is in neither list; empty if the ranges cover the
+	// whole key space.
 	Rest ServerID `json:"rest,omitempty"`
 }
 
-// OwnedRange gives a range of key hashes to a server.
+// OwnedRange assigns a range of key hashes to a server.
 type OwnedRange struct {
 	Range  KeyRange `json:"range"`
 	Server ServerID `json:"server"`
 }
 
-// OwnedKey gives one key to a server.
+// OwnedKey assigns one key to a server.
 type OwnedKey struct {
 	Key    string   `json:"key"`
 	Server ServerID `json:"server"`
 }
 
-// ObserveRanges routes a service by ranges that cover its key space in order.
+// ObserveRanges sets the observed ownership of a service. The ranges are in order and
+// cover its key space.
 type ObserveRanges struct {
 	Service ServiceName  `json:"service"`
 	Ranges  []OwnedRange `json:"ranges"`
 }
 
-// ChangeMode switches a service to a mode. Revision is the one of the service
-// that the plan rests on.
+// ChangeMode switches a service to a mode. Revision is the service's revision that
+// the plan is based on.
 type ChangeMode struct {
 	Service  ServiceName `json:"service"`
 	Mode     ServiceMode `json:"mode"`
@@ -190,21 +193,21 @@
 	Release       *ReleaseRequest `json:"release_request,omitempty" msgpack:",omitempty"`
 }
 
-// ChangesDirectory reports whether the plan changes what gateways route by.
+// ChangesDirectory reports whether the plan changes the directory that gateways route by.
 func (p Plan) ChangesDirectory() bool {
 	return slices.ContainsFunc(p.Operations, func(operation Operation) bool {
 		return operation.PutZone != nil || operation.Release != nil
 	})
 }
 
-// CreateShards cuts a service's key space into Count equal ranges.
+// CreateShards divides a service's key space into Count equal ranges.
 type CreateShards struct {
 	Service ServiceName `json:"service"`
 	Count   int         `json:"count"`
 }
 
-// IsolateKey splits Shard so that Hash stands alone in a shard of its own,
-// which then moves to To.
+// IsolateKey splits Shard so that Hash gets a shard of its own, which then moves to
+// To.
 type IsolateKey struct {
 	Shard ShardID  `json:"shard"`
 	Epoch Epoch    `json:"epoch"`
@@ -212,7 +215,7 @@
 	To    ServerID `json:"to"`
 }
 
-// MoveShard moves a whole shard. Epoch is the epoch that the plan rests on.
+// MoveShard moves a whole shard. Epoch is the epoch that the decision is based on.
 type MoveShard struct {
 	Shard ShardID  `json:"shard"`
 	Epoch Epoch    `json:"epoch"`
@@ -220,49 +223,49 @@
 	To    ServerID `json:"to"`
 }
 
-// Prediction is what a plan is expected to cost.
+// Prediction is the expected effect and cost of a plan.
 type Prediction struct {
 	Moves int `json:"moves"`
 	// ImbalanceBefore and ImbalanceAfter are maximum load / mean load.
 	ImbalanceBefore float64 `json:"imbalance_before"`
 	ImbalanceAfter  float64 `json:"imbalance_after"`
-	// Churn is the share of the service's key space that changes owner.
+	// Churn is the fraction of the service's key space that changes owner.
 	Churn float64 `json:"churn"`
-	// Unavailable is the expected time that each moved shard has no owner.
+	// Unavailable is the expected time during which a moved shard has no owner.
 	Unavailable time.Duration `json:"unavailable_ns"`
-	// Measured is true if Unavailable rests on earlier moves of the service.
+	// Measured is true if Unavailable is based on earlier moves of the service.
 	Measured bool `json:"measured"`
 }
 
-// PlanStatus is the step of a plan's life.
+// PlanStatus is the stage of a plan's life cycle.
 type PlanStatus string
 
-// Steps of a plan's life.
+// Plan statuses.
 const (
 	PlanStored    PlanStatus = "stored"
 	PlanConfirmed PlanStatus = "confirmed"
 	PlanStale     PlanStatus = "stale"
 )
 
-// Plan is the stored answer to an intent. It changes nothing until confirmed.
+// Plan is the stored plan for an intent. It has no effect until it is confirmed.
 type Plan struct {
 	ID     PlanID     `json:"id"`
 	Intent Intent     `json:"intent"`
 	Status PlanStatus `json:"status"`
-	// Base is the revision of the service at the time of planning: the plan is
-	// stale once the service's configuration or a shard that it moves changed.
+	// Base is the revision of the service at the time of planning. The plan becomes
+	// stale when the service's configuration or a shard that the plan moves changes.
 	Base       Revision    `json:"base"`
 	Operations []Operation `json:"operations"`
 	Prediction Prediction  `json:"prediction"`
-	// Reasons explain the operations to a person, one line each.
+	// Reasons explain the operations to the operator, one line each.
 	Reasons []string `json:"reasons"`
 	// Digest is the xxhash of the operations, shown to the operator.
 	Digest string `json:"digest"`
 	// Accepted is the revision at which the plan was confirmed.
 	Accepted Revision `json:"accepted"`
-	// Operator who confirmed.
+	// ConfirmedBy is the operator who confirmed the plan.
 	ConfirmedBy string `json:"confirmed_by,omitempty"`
-	// Forgotten says that the intent was answered before and that only status,
-	// digest and revision are still known.
+	// Forgotten is true if the intent was answered earlier and only the status, the
+	// digest, the revision and the confirming operator are still known.
 	Forgotten bool `json:"forgotten,omitempty" msgpack:",omitempty"`
 }
--- a/internal/state/put.go
+++ b/internal/state/put.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// put stores a routing-visible object and keeps the digest and the indexes in
-// step. The object must not be changed by the caller afterwards.
+// put stores a routing-visible object and updates the digests and the indexes. The
+// caller must not modify the object afterwards.
 func (s *State) put(object Object) {
 	previous, existed := s.lookup(object)
 	if existed {
@@ -31,7 +31,8 @@
 	}
 }
 
-// changeDigest takes an object into the digests, or out of them.
+// changeDigest adds an object to the digests or removes it from them; with XOR both
+// are the same operation.
 func (s *State) changeDigest(object Object) {
 	digest := ObjectDigest(object)
 	s.digest ^= digest
@@ -76,8 +77,9 @@
 	s.active.put(previous, shard)
 }
 
-// insertRange adds a new shard to its service's ordered list. The order is by
-// Range.First, which no two shards of a service share once a command ended.
+// insertRange adds a new shard to its service's list, which is sorted by
+// Range.First. No two shards of a service share that value once a command has been
+// applied.
 func (s *State) insertRange(shard *Shard) {
 	ids := s.ranges[shard.Service]
 	s.shards[shard.ID] = shard
@@ -89,7 +91,7 @@
 	s.ranges[shard.Service] = slices.Insert(ids, position, shard.ID)
 }
 
-// removeShard takes a shard that was merged into another out of every index.
+// removeShard removes a shard that was merged into another from every index.
 func (s *State) removeShard(previous *Shard, revision Revision) {
 	s.totals.remove(previous)
 	s.active.remove(previous)
@@ -103,8 +105,8 @@
 	}
 }
 
-// rangePosition returns where in its service's ordered list a shard that begins
-// at a hash stands, or would stand.
+// rangePosition returns the position in a service's sorted list of the shard that
+// begins at a hash, or the position at which it would be inserted.
 func (s *State) rangePosition(service ServiceName, first uint64) (int, bool) {
 	return slices.BinarySearchFunc(s.ranges[service], first, func(id ShardID, first uint64) int {
 		return cmp.Compare(s.shards[id].Range.First, first)
--- a/internal/state/receipt.go
+++ b/internal/state/receipt.go
@@ -8,39 +8,39 @@
 	"github.com/thorntiller/thorntiller/internal/fault"
 )
 
-// MaxReceipts bounds the receipts of intents whose plans were forgotten; the
-// oldest are forgotten first. With MaxPlans it covers 3 days and 8 hours at
-// 11,000 intents a day.
+// MaxReceipts limits the number of receipts kept for intents whose plans were
+// discarded; the oldest are discarded first. Together with MaxPlans it covers 3 days
+// and 8 hours at 11,000 intents a day.
 const MaxReceipts = 32768
 
-// Receipt is what is kept of an intent once its plan is forgotten.
+// Receipt is the summary of an intent that is kept after its plan was discarded.
 type Receipt struct {
 	Plan PlanID `msgpack:"p"`
-	// Content is the hash of what was asked for.
+	// Content is the hash of the intent without its operator.
 	Content uint64 `msgpack:"c"`
 	// Status, Digest, Accepted and ConfirmedBy are those of the plan. A plan that
-	// was only stored is stale: what it would have done is forgotten.
+	// was never confirmed counts as stale, because its operations are discarded.
 	Status      PlanStatus `msgpack:"s"`
 	Digest      string     `msgpack:"d"`
 	Accepted    Revision   `msgpack:"a,omitempty"`
 	ConfirmedBy string     `msgpack:"o,omitempty"`
 }
 
-// receipts holds the receipts and what is known of forgotten ones. It is not safe
-// for concurrent use.
+// receipts holds the receipts and a summary of the identifiers whose receipts were
+// discarded. It is not safe for concurrent use.
 type receipts struct {
 	byPlan map[PlanID]*Receipt
-	// order has the oldest first. Its elements are never changed.
+	// order lists the receipts, oldest first. Its elements are never modified.
 	order     []*Receipt
 	forgotten forgottenIDs
 }
 
-// forgottenIDs tells which unknown identifiers may be forgotten ones.
+// forgottenIDs records which unknown identifiers may belong to discarded receipts.
 type forgottenIDs struct {
-	// NewestMs is the time of the newest one that tells its time, in Unix
-	// milliseconds.
+	// NewestMs is the newest timestamp of a discarded identifier that contains one,
+	// in Unix milliseconds.
 	NewestMs int64 `msgpack:",omitempty"`
-	// Untimed is true once one was forgotten that tells no time.
+	// Untimed is true once an identifier without a timestamp was discarded.
 	Untimed bool `msgpack:",omitempty"`
 }
 
@@ -65,7 +65,7 @@
 	}
 }
 
-// receiptOf returns what is kept of a plan that is forgotten.
+// receiptOf returns the receipt to keep when a plan is discarded.
 func receiptOf(plan *Plan) *Receipt {
 	receipt := &Receipt{
 		Plan: plan.ID, Content: contentOf(plan.Intent), Status: plan.Status, Digest: plan.Digest,
@@ -77,22 +77,22 @@
 	return receipt
 }
 
-// contentOf hashes what is asked for, whoever asks.
+// contentOf returns the hash of an intent without its operator.
 func contentOf(intent Intent) uint64 {
 	intent.Operator = ""
 	encoded, err := codec.Marshal(&intent)
 	if err != nil {
-		// An intent that came by the log was encoded before.
+		// Unreachable: an intent from the log has been encoded before.
 		return 0
 	}
 	return xxhash.Sum64(encoded)
 }
 
-// timedVersion is the UUID version that begins with a Unix time.
+// timedVersion is the UUID version that begins with a Unix timestamp.
 const timedVersion = 7
 
-// drawnAt returns the time that an identifier tells, in Unix milliseconds; only a
-// UUID of version 7 does.
+// drawnAt returns the timestamp of an identifier in Unix milliseconds. Only a UUID
+// of version 7 contains one.
 func drawnAt(id PlanID) (int64, bool) {
 	parsed, err := uuid.Parse(string(id))
 	if err != nil || parsed.Version() != timedVersion {
@@ -106,7 +106,7 @@
 	return milliseconds, true
 }
 
-// Receipt returns what is kept of a plan that is forgotten.
+// Receipt returns the receipt of a discarded plan.
 func (s *State) Receipt(id PlanID) (Receipt, bool) {
 	receipt, found := s.receipts.byPlan[id]
 	if !found {
@@ -115,9 +115,9 @@
 	return *receipt, true
 }
 
-// Expired reports whether an identifier that is not known may be one that is
-// forgotten: its time is not after the newest forgotten one, or it tells none, as
-// forgotten ones.
+// Expired reports whether an unknown identifier may belong to a discarded receipt:
+// its timestamp is not after the newest discarded one, or it has no timestamp and
+// identifiers without one have been discarded.
 func (s *State) Expired(id PlanID) bool {
 	drawnMs, timed := drawnAt(id)
 	if !timed {
@@ -126,15 +126,16 @@
 	return drawnMs <= s.receipts.forgotten.NewestMs
 }
 
-// DrawnAfter reports whether an identifier tells a time after the given one, in
-// Unix milliseconds.
+// DrawnAfter reports whether an identifier contains a timestamp later than the given
+// time in Unix milliseconds.
 func DrawnAfter(id IntentID, unixMs int64) bool {
 	drawnMs, timed := drawnAt(PlanID(id))
 	return timed && drawnMs > unixMs
 }
 
-// answerForgotten answers a resend of an intent whose plan is forgotten as the
-// first time, without what the plan did. It reports whether it is one.
+// answerForgotten answers a retry of an intent whose plan was discarded. The answer
+// is the original one without the plan's operations. It returns false if the
+// identifier is new, so that the intent is to be planned.
 func (tx *transaction) answerForgotten(id PlanID, intent Intent) (Result, bool) {
 	receipt, found := tx.state.Receipt(id)
 	switch {
@@ -150,7 +151,7 @@
 	}
 }
 
-// Known returns the plan as far as it is known.
+// Known returns a plan with the fields that the receipt preserves.
 func (r Receipt) Known() *Plan {
 	return r.plan(Intent{ID: IntentID(r.Plan)})
 }
@@ -162,8 +163,8 @@
 	}
 }
 
-// confirmForgotten answers the confirmation of a plan that is forgotten. It never
-// changes anything.
+// confirmForgotten answers the confirmation of a plan that is no longer stored. It
+// never changes the state.
 func (tx *transaction) confirmForgotten(command *ConfirmPlan) Result {
 	receipt, found := tx.state.Receipt(command.Plan)
 	switch {
--- a/internal/state/receipt_test.go
+++ b/internal/state/receipt_test.go
@@ -11,7 +11,7 @@
 	"github.com/thorntiller/thorntiller/internal/fault"
 )
 
-// timedID returns the identifier that was drawn at a time, in Unix milliseconds.
+// timedID returns an identifier generated at a time in Unix milliseconds.
 func timedID(unixMs int) PlanID {
 	var id uuid.UUID
 	binary.BigEndian.PutUint64(id[:8], uint64(unixMs)<<16|timedVersion<<12)
@@ -31,7 +31,7 @@
 	return m.apply(Command{StorePlan: &StorePlan{Plan: plan}})
 }
 
-// wantError demands that a command is refused and changes nothing.
+// wantError requires that a command fails and changes nothing.
 func (m *machine) wantError(what string, kind fault.Kind, command Command) {
 	m.t.Helper()
 	result := m.apply(command)
@@ -40,8 +40,9 @@
 	}
 }
 
-// TestForgottenPlansAreAnsweredByTheirReceipts confirms one plan and leaves one,
-// and lets others push them out; then the same after a snapshot.
+// TestForgottenPlansAreAnsweredByTheirReceipts confirms one plan, leaves another
+// unconfirmed, and stores enough further plans to evict both. It checks the answers
+// before and after a snapshot.
 func TestForgottenPlansAreAnsweredByTheirReceipts(t *testing.T) {
 	m := withService(t, 1)
 	done, left := planOf("done", "s"), planOf("left", "s")
@@ -88,8 +89,8 @@
 	m.wantError("a late confirmation", fault.StalePlan, Command{ConfirmPlan: &ConfirmPlan{Plan: left.ID, Digest: left.Digest}})
 }
 
-// TestForgottenIdentifiersAreRefused: identifiers that tell their time are refused
-// once they may be among those whose receipts are forgotten too.
+// TestForgottenIdentifiersAreRefused checks that identifiers with a timestamp are
+// rejected once they may belong to receipts that were discarded.
 func TestForgottenIdentifiersAreRefused(t *testing.T) {
 	m := newMachine(t)
 	const over = 10
@@ -102,7 +103,7 @@
 	if kept := len(m.state.receipts.order); kept != MaxReceipts || len(m.state.receipts.byPlan) != MaxReceipts {
 		t.Errorf("%d receipts are kept", kept)
 	}
-	// The chosen one pushed one more out.
+	// Storing the plan with the chosen identifier evicted one more receipt.
 	const lastForgotten = 1000 + over
 	old := timedID(lastForgotten - 1)
 	m.wantError("a forgotten intent", fault.IntentExpired, Command{StorePlan: &StorePlan{Plan: planOf(old, "s")}})
@@ -121,8 +122,8 @@
 	m.wantError("one without a time, as a forgotten one", fault.IntentExpired, Command{StorePlan: &StorePlan{Plan: planOf("other", "s")}})
 }
 
-// BenchmarkReceipts is what receipts add to a state's snapshot and heap, with
-// every receipt and no plan.
+// BenchmarkReceipts measures what receipts add to a state's snapshot and heap, with
+// the maximum number of receipts and no plans.
 func BenchmarkReceipts(b *testing.B) {
 	full := New()
 	random := rand.New(rand.NewPCG(1, 1))
--- a/internal/state/routers_test.go
+++ b/internal/state/routers_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// TestClosedRoutersAreForgotten: routers that come under new names do not fill
-// the state, those that a partition names stay, and a router that comes back
-// gets a session number that no router had before.
+// TestClosedRoutersAreForgotten checks that routers which register under new names do
+// not accumulate in the state, that those assigned to a partition are kept, and that a
+// router which registers again gets a session number that no router had before.
 func TestClosedRoutersAreForgotten(t *testing.T) {
 	s := New()
 	index := uint64(0)
--- a/internal/state/section.go
+++ b/internal/state/section.go
@@ -1,16 +1,16 @@
 package state
 
-// CommonSection names the section of the routers and the record partitions.
+// CommonSection is the section that holds the routers and the record partitions.
 const CommonSection = ServiceName("")
 
-// SectionDigests holds a digest for each section of the routing table: the
-// exclusive-or of the digests of its objects. A section is a service with its
-// servers and shards; CommonSection is what belongs to none. A section whose
-// digest is zero is left out.
+// SectionDigests holds a digest for each section of the routing table: the XOR of
+// the digests of its objects. A section is a service with its servers and shards;
+// CommonSection holds the objects that belong to no service. A section whose digest
+// is zero is omitted.
 type SectionDigests map[ServiceName]uint64
 
-// Section returns the section that the object belongs to. It is not known of a
-// deleted server or shard, of which only the identifier is left.
+// Section returns the section that the object belongs to. It is not meaningful for
+// a deleted server or shard that has only its identifier left.
 func (o Object) Section() ServiceName {
 	switch {
 	case o.Service != nil:
@@ -24,7 +24,8 @@
 	}
 }
 
-// change takes an object's digest into its section, or out of it.
+// change adds an object's digest to its section or removes it; with XOR both are the
+// same operation.
 func (d SectionDigests) change(object Object, digest uint64) {
 	section := object.Section()
 	d[section] ^= digest
--- a/internal/state/section_test.go
+++ b/internal/state/section_test.go
@@ -10,7 +10,7 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-// sectionsOf computes the digests of the sections from every object.
+// sectionsOf computes the section digests from scratch over every object.
 func sectionsOf(view *State) (SectionDigests, uint64) {
 	sections := make(SectionDigests)
 	whole := uint64(0)
@@ -21,9 +21,9 @@
 	return sections, whole
 }
 
-// TestSectionDigestsAgreeWithEveryObject checks the digests after each change,
-// that the differences of a change lead from the ones before to the ones after,
-// and that a restored state has the same.
+// TestSectionDigestsAgreeWithEveryObject checks the section digests after each change,
+// that the differences of a change turn the previous digests into the new ones, and
+// that a restored state has the same digests.
 func TestSectionDigestsAgreeWithEveryObject(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(13)
 	parameters.MinSuccessfulTests = 20
--- a/internal/state/snapshot.go
+++ b/internal/state/snapshot.go
@@ -11,13 +11,12 @@
 	"github.com/thorntiller/thorntiller/internal/directory"
 )
 
-// MaxSnapshotBytes bounds the memory that a snapshot may take once it is
-// decompressed.
+// MaxSnapshotBytes limits the size of a decompressed snapshot.
 const MaxSnapshotBytes = 1 << 30
 
-// Frozen is the state at one revision. It shares the objects of the State that
-// it came from, which replaces objects and never changes them, so that it may be
-// read while the State goes on.
+// Frozen is the state at one revision. It shares its objects with the State that it
+// was taken from. It may be read while commands are applied to the State, because
+// the State replaces objects and never modifies them.
 type Frozen struct {
 	revision   Revision
 	nextShard  ShardID
@@ -33,29 +32,29 @@
 	directory  *directory.Directory
 }
 
-// encodedState is the snapshot form of State.
+// encodedState is the encoding of State in a snapshot.
 type encodedState struct {
 	Revision  Revision
 	NextShard ShardID
 	Objects   []Object
 	Plans     []Plan
 	Versions  []serverVersion
-	// Receipts are those of forgotten plans, oldest first. Forgotten tells of the
-	// identifiers whose receipts are forgotten too.
+	// Receipts are those of discarded plans, oldest first. Forgotten summarizes the
+	// identifiers whose receipts were discarded too.
 	Receipts  []*Receipt `msgpack:",omitempty"`
 	Forgotten forgottenIDs
-	// Directory is everything that the directory holds.
+	// Directory is the whole content of the directory.
 	Directory directory.Content `msgpack:",omitempty"`
 }
 
-// serverVersion is the snapshot form of one assignment version.
+// serverVersion is the encoding of one assignment version in a snapshot.
 type serverVersion struct {
 	Server  ServerID
 	Version Revision
 }
 
-// Freeze returns the present state. It copies references only, which takes a
-// time that grows with the number of objects.
+// Freeze returns the current state. It copies only references, in time proportional
+// to the number of objects.
 func (s *State) Freeze() *Frozen {
 	frozen := &Frozen{
 		revision:   s.revision,
@@ -85,8 +84,8 @@
 	return list
 }
 
-// Objects returns every routing-visible object in a fixed order. It may be
-// called by one goroutine at a time.
+// Objects returns every routing-visible object in a fixed order. It must not be
+// called concurrently, because it sorts the object lists in place.
 func (f *Frozen) Objects() []Object {
 	f.sort()
 	objects := make([]Object, 0, len(f.services)+len(f.servers)+len(f.shards)+len(f.routers)+len(f.partitions))
@@ -119,7 +118,7 @@
 	slices.SortFunc(f.versions, func(a, b serverVersion) int { return cmp.Compare(a.Server, b.Server) })
 }
 
-// Encode returns the compressed snapshot form. The same state has the same form.
+// Encode returns the compressed snapshot. Equal states give equal bytes.
 func (f *Frozen) Encode() ([]byte, error) {
 	encoded, err := codec.Marshal(&encodedState{
 		Revision:  f.revision,
@@ -146,12 +145,12 @@
 	return s.Freeze().Objects()
 }
 
-// Encode returns the snapshot form of the state.
+// Encode returns the compressed snapshot of the state.
 func (s *State) Encode() ([]byte, error) {
 	return s.Freeze().Encode()
 }
 
-// Decode restores a state from its snapshot form.
+// Decode restores a state from a compressed snapshot.
 func Decode(compressed []byte) (*State, error) {
 	reader, err := zstd.NewReader(nil, zstd.WithDecoderMaxMemory(MaxSnapshotBytes), zstd.WithDecoderConcurrency(1))
 	if err != nil {
--- a/internal/state/snapshot_bench_test.go
+++ b/internal/state/snapshot_bench_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// benchmarkSizes are shards; each server owns about 85, as at the largest size
-// to design for.
+// benchmarkSizes are numbers of shards. Each server owns about 85, as at the largest
+// cluster size that the design targets.
 var benchmarkSizes = []int{50_000, 200_000, 530_000}
 
 const shardsPerServer = 85
@@ -29,7 +29,7 @@
 	return large
 }
 
-// BenchmarkFreeze is the time that a snapshot holds the replica's loop.
+// BenchmarkFreeze measures how long taking a snapshot blocks the replica's event loop.
 func BenchmarkFreeze(b *testing.B) {
 	for _, shards := range benchmarkSizes {
 		large := largeState(shards)
@@ -41,7 +41,7 @@
 	}
 }
 
-// BenchmarkEncode is the rest of a snapshot, which runs beside the loop.
+// BenchmarkEncode measures the rest of a snapshot, which runs concurrently with the loop.
 func BenchmarkEncode(b *testing.B) {
 	for _, shards := range benchmarkSizes {
 		large := largeState(shards)
@@ -59,7 +59,7 @@
 	}
 }
 
-// BenchmarkDecode is the time of a restart from a snapshot.
+// BenchmarkDecode measures restoring the state from a snapshot at a restart.
 func BenchmarkDecode(b *testing.B) {
 	for _, shards := range benchmarkSizes {
 		encoded, err := largeState(shards).Encode()
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -9,8 +9,8 @@
 	"github.com/thorntiller/thorntiller/internal/fault"
 )
 
-// MaxPlans bounds the stored plans; the oldest are forgotten first. Of a
-// forgotten plan a Receipt is kept, by which a resend is answered.
+// MaxPlans limits the number of stored plans; the oldest are discarded first. A
+// Receipt is kept of each discarded plan, to answer retries of its intent.
 const MaxPlans = 4096
 
 // State is the whole replicated state. It is not safe for concurrent use.
@@ -18,7 +18,8 @@
 	revision Revision
 	digest   uint64
 	sections SectionDigests
-	// differences is by how much sections changed since a command began.
+	// differences holds, for each section, the XOR of its digest before the current
+	// command and its present digest.
 	differences SectionDigests
 	nextShard   ShardID
 	services    map[ServiceName]*Service
@@ -29,18 +30,19 @@
 	plans       map[PlanID]*Plan
 	planOrder   []PlanID
 	receipts    receipts
-	// ranges holds each service's shards in the order of their ranges.
+	// ranges lists each service's shards, sorted by range.
 	ranges map[ServiceName][]ShardID
 	// owned indexes the shards by their owner.
 	owned map[ServerID]map[ShardID]*Shard
 	// versions holds, for each server, the revision at which the set of shards
 	// that it may serve last changed.
 	versions map[ServerID]Revision
-	// active indexes the shards that are not simply owned: unowned, revoking,
-	// or owned with a target.
+	// active indexes the shards that the controllers must act on: unowned,
+	// revoking, or owned with a target.
 	active activeIndex
 	totals totals
-	// directory is for routers by route; it has no part in the digests.
+	// directory is used only by routers that forward requests by route; the digests do
+	// not cover it.
 	directory *directory.Directory
 }
 
@@ -66,16 +68,16 @@
 	}
 }
 
-// Result is what Apply did.
+// Result is the outcome of Apply.
 type Result struct {
 	// Changed lists the routing-visible objects that changed, in order.
 	Changed []Object
-	// Differences is, for each section that changed, the exclusive-or of its
-	// digests before and after.
+	// Differences is, for each section that changed, the XOR of its digests before
+	// and after the command.
 	Differences SectionDigests
 	// Plan is the stored plan, for StorePlan and ConfirmPlan.
 	Plan *Plan
-	// Err says why the command changed nothing.
+	// Err is the reason why the command did not change the routing table.
 	Err *fault.Error
 }
 
@@ -142,22 +144,22 @@
 	return *plan, true
 }
 
-// Services returns all services by name.
+// Services returns all services, sorted by name.
 func (s *State) Services() []Service {
 	return sortedValues(s.services, func(a, b Service) int { return cmp.Compare(a.Name, b.Name) })
 }
 
-// Servers returns all servers by identifier.
+// Servers returns all servers, sorted by identifier.
 func (s *State) Servers() []Server {
 	return sortedValues(s.servers, func(a, b Server) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// Routers returns all routers by identifier.
+// Routers returns all routers, sorted by identifier.
 func (s *State) Routers() []Router {
 	return sortedValues(s.routers, func(a, b Router) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// Partitions returns all record partitions by number.
+// Partitions returns all record partitions, sorted by number.
 func (s *State) Partitions() []RecordPartition {
 	return sortedValues(s.partitions, func(a, b RecordPartition) int { return cmp.Compare(a.Number, b.Number) })
 }
@@ -171,7 +173,7 @@
 	return plans
 }
 
-// ServersOf returns the servers of one service by identifier.
+// ServersOf returns the servers of one service, sorted by identifier.
 func (s *State) ServersOf(service ServiceName) []Server {
 	var servers []Server
 	for _, server := range s.servers {
@@ -183,7 +185,7 @@
 	return servers
 }
 
-// ShardsOf returns a service's shards in the order of their ranges.
+// ShardsOf returns a service's shards, sorted by range.
 func (s *State) ShardsOf(service ServiceName) []Shard {
 	ids := s.ranges[service]
 	shards := make([]Shard, 0, len(ids))
@@ -193,12 +195,12 @@
 	return shards
 }
 
-// ShardCount returns how many shards a service has.
+// ShardCount returns the number of shards of a service.
 func (s *State) ShardCount(service ServiceName) int {
 	return len(s.ranges[service])
 }
 
-// ShardAt returns the shard of a service that holds a key hash.
+// ShardAt returns the shard of a service whose range contains a key hash.
 func (s *State) ShardAt(service ServiceName, hash uint64) (Shard, bool) {
 	ids := s.ranges[service]
 	position, _ := slices.BinarySearchFunc(ids, hash, func(id ShardID, hash uint64) int {
@@ -211,8 +213,8 @@
 	return *shard, shard.Range.Contains(hash)
 }
 
-// ShardsWithin returns a service's shards that lie wholly within a range, in
-// order.
+// ShardsWithin returns a service's shards that lie entirely within a range, sorted
+// by range.
 func (s *State) ShardsWithin(service ServiceName, keys KeyRange) []Shard {
 	ids := s.ranges[service]
 	start, _ := s.rangePosition(service, keys.First)
@@ -227,8 +229,9 @@
 	return shards
 }
 
-// Unsettled returns a shard of the service that has no owner in service, or is
-// to move, if there is one. Owners of an observed service need no session.
+// Unsettled returns a shard of the service that is not owned, has a pending move, or
+// whose owner has no open session, if there is one. Owners in an observed service
+// need no session.
 func (s *State) Unsettled(service ServiceName) (ShardID, bool) {
 	observed := s.observed(service)
 	for _, id := range s.ranges[service] {
@@ -242,13 +245,14 @@
 	return 0, false
 }
 
-// observed reports whether the team's own scripts decide about the service.
+// observed reports whether the service's ownership is imported from the team's own
+// scripts (ModeObserved).
 func (s *State) observed(service ServiceName) bool {
 	known, found := s.services[service]
 	return found && known.Mode == ModeObserved
 }
 
-// OwnedBy returns the shards that a server owns, revoking ones included, by
+// OwnedBy returns the shards that a server owns, including revoking ones, sorted by
 // identifier.
 func (s *State) OwnedBy(server ServerID) []Shard {
 	owned := make([]*Shard, 0, len(s.owned[server]))
@@ -263,7 +267,7 @@
 	return shards
 }
 
-// OwnedCount returns how many shards a server owns.
+// OwnedCount returns the number of shards that a server owns, including revoking ones.
 func (s *State) OwnedCount(server ServerID) int {
 	return len(s.owned[server])
 }
--- a/internal/state/totals.go
+++ b/internal/state/totals.go
@@ -12,12 +12,13 @@
 	return c.Unowned + c.Owned + c.Revoking
 }
 
-// totals are sums over shards, kept with each change, so that a plan or a status
-// need not look at every shard.
+// totals are sums over shards that are updated with each change, so that a plan or a
+// status query does not have to scan every shard.
 type totals struct {
 	phases map[ServiceName]PhaseCounts
-	// spans adds up Last - First of the shards that a server owns. A server
-	// belongs to one service, whose shards do not overlap, so that the sum fits.
+	// spans is the sum of Last - First over the shards that a server owns. It does
+	// not overflow, because a server belongs to one service, whose shards do not
+	// overlap.
 	spans map[ServerID]uint64
 }
 
@@ -25,8 +26,8 @@
 	return totals{phases: make(map[ServiceName]PhaseCounts), spans: make(map[ServerID]uint64)}
 }
 
-// replace takes the earlier version of a shard out, if there is one, and the new
-// version in.
+// replace subtracts the previous version of a shard, if there is one, and adds the
+// new version.
 func (t *totals) replace(previous, shard *Shard) {
 	if previous != nil {
 		t.remove(previous)
@@ -37,7 +38,7 @@
 	t.spans[shard.Owner] += shard.Range.Last - shard.Range.First
 }
 
-// remove takes a shard out.
+// remove subtracts a shard from the totals.
 func (t *totals) remove(previous *Shard) {
 	counts := t.phases[previous.Service]
 	counts.add(previous.Phase, -1)
@@ -61,8 +62,8 @@
 	return s.totals.phases[service]
 }
 
-// OwnedWidth returns the share of its service's key space that a server owns,
-// revoking shards included, 0 to 1.
+// OwnedWidth returns the fraction (0 to 1) of its service's key space that a server
+// owns, including revoking shards.
 func (s *State) OwnedWidth(server ServerID) float64 {
 	if s.OwnedCount(server) == 0 {
 		return 0
--- a/internal/state/totals_test.go
+++ b/internal/state/totals_test.go
@@ -10,7 +10,7 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-// totalsHold compares the totals with a look at every shard.
+// totalsHold compares the totals with sums computed from every shard.
 func totalsHold(t *testing.T, view *State) bool {
 	t.Helper()
 	var counts PhaseCounts
@@ -32,7 +32,7 @@
 	return true
 }
 
-// change does something at random to a shard or a server.
+// change applies a random command to a shard or a server.
 func (m *machine) change(random *rand.Rand) {
 	servers := []ServerID{"a", "b"}
 	server, other := servers[random.IntN(2)], servers[random.IntN(2)]
