--- a/internal/state/active.go
+++ b/internal/state/active.go
@@ -42,9 +42,9 @@
 func (a activeIndex) remove(shard *Shard) {
 	delete(a.revoking, shard.ID)
 	delete(a.targeted, shard.ID)
-	if left := a.unowned[shard.Service]; left != nil {
-		delete(left, shard.ID)
-		if len(left) == 0 {
+	if ids := a.unowned[shard.Service]; ids != nil {
+		delete(ids, shard.ID)
+		if len(ids) == 0 {
 			delete(a.unowned, shard.Service)
 		}
 	}
--- a/internal/state/apply.go
+++ b/internal/state/apply.go
@@ -167,7 +167,7 @@
 	if server.Intent == ServerRetired {
 		return failure(fault.Conflict, "the server is retired")
 	}
-	if tx.state.observed(server.Service) {
+	if tx.state.isObserved(server.Service) {
 		return failure(fault.Conflict, "the service is observed: its servers get no leases")
 	}
 	server.Session = Session{Number: command.After + 1, Incarnation: command.Incarnation, Open: true}
@@ -194,7 +194,7 @@
 	server.Session.Open = false
 	tx.putServer(server)
 	for _, shard := range tx.state.OwnedBy(command.Server) {
-		tx.disown(shard)
+		tx.clearOwner(shard)
 	}
 	return Result{}
 }
@@ -207,9 +207,9 @@
 	return Result{}
 }
 
-// disown makes a shard unowned. It keeps the epoch, so that the next assignment
+// clearOwner makes a shard unowned. It keeps the epoch, so that the next assignment
 // gets a higher one.
-func (tx *transaction) disown(shard Shard) {
+func (tx *transaction) clearOwner(shard Shard) {
 	shard.Phase = ShardUnowned
 	shard.Owner = ""
 	tx.putShard(shard)
@@ -224,7 +224,7 @@
 		if shard.Owner != command.Server || shard.Epoch != released.Epoch {
 			continue
 		}
-		tx.disown(shard)
+		tx.clearOwner(shard)
 	}
 	return Result{}
 }
@@ -251,7 +251,7 @@
 func (tx *transaction) revokeShards(command *RevokeShards) Result {
 	for _, move := range command.Moves {
 		shard, found := tx.state.Shard(move.Shard)
-		if !found || shard.Phase != ShardOwned || shard.Epoch != move.Epoch || tx.state.observed(shard.Service) {
+		if !found || shard.Phase != ShardOwned || shard.Epoch != move.Epoch || tx.state.isObserved(shard.Service) {
 			continue
 		}
 		shard.Phase = ShardRevoking
@@ -310,7 +310,7 @@
 	router.Session.Open = false
 	router.Revision = tx.revision
 	tx.put(Object{Router: &router})
-	tx.forgetRouters()
+	tx.deleteClosedRouters()
 	return Result{}
 }
 
@@ -319,18 +319,18 @@
 // names over the lifetime of the cluster.
 const MaxClosedRouters = 256
 
-// forgetRouters deletes the routers that were closed first until MaxClosedRouters
+// deleteClosedRouters deletes the routers that were closed first until MaxClosedRouters
 // remain. Routers that are the primary or the backup of a record partition are
 // neither counted nor deleted.
-func (tx *transaction) forgetRouters() {
-	placed := make(map[RouterID]bool)
+func (tx *transaction) deleteClosedRouters() {
+	inPartition := make(map[RouterID]bool)
 	for _, partition := range tx.state.partitions {
-		placed[partition.Primary] = true
-		placed[partition.Backup] = true
+		inPartition[partition.Primary] = true
+		inPartition[partition.Backup] = true
 	}
 	var closed []Router
 	for _, router := range tx.state.Routers() {
-		if !router.Session.Open && !placed[router.ID] {
+		if !router.Session.Open && !inPartition[router.ID] {
 			closed = append(closed, router)
 		}
 	}
--- a/internal/state/apply_directory.go
+++ b/internal/state/apply_directory.go
@@ -43,13 +43,13 @@
 		return fault.From(err)
 	}
 	if suspect, found := tx.state.directory.Suspect(fingerprint); !found || !suspect.Quarantined {
-		return stale("request " + request.Fingerprint + " is no longer in quarantine")
+		return stalePlan("request " + request.Fingerprint + " is no longer in quarantine")
 	}
 	return nil
 }
 
-// release takes a request out of quarantine. checkRelease must have accepted it.
-func (tx *transaction) release(request ReleaseRequest) {
+// releaseFromQuarantine takes a request out of quarantine. checkRelease must have accepted it.
+func (tx *transaction) releaseFromQuarantine(request ReleaseRequest) {
 	if fingerprint, err := directory.ParseFingerprint(request.Fingerprint); err == nil {
 		tx.changeDirectory(directory.Command{Release: &fingerprint})
 	}
--- a/internal/state/apply_merge.go
+++ b/internal/state/apply_merge.go
@@ -10,7 +10,7 @@
 // Either all pairs are merged or none.
 func (tx *transaction) mergeShards(command *MergeShards) Result {
 	used := make(map[ShardID]bool, 2*len(command.Merges))
-	left := make(map[ServiceName]int)
+	mergeCounts := make(map[ServiceName]int)
 	for _, merge := range command.Merges {
 		if used[merge.First.Shard] || used[merge.Second.Shard] {
 			return failure(fault.Conflict, "a shard stands in two of the merges")
@@ -20,8 +20,8 @@
 			return failure(fault.Conflict, problem)
 		}
 		shard, _ := tx.state.Shard(merge.First.Shard)
-		left[shard.Service]++
-		if problem := tx.policyProblem(shard.Service, left[shard.Service]); problem != "" {
+		mergeCounts[shard.Service]++
+		if problem := tx.mergePolicyProblem(shard.Service, mergeCounts[shard.Service]); problem != "" {
 			return failure(fault.Conflict, problem)
 		}
 	}
@@ -31,9 +31,9 @@
 	return Result{}
 }
 
-// policyProblem returns the reason why the service's policy does not allow the
+// mergePolicyProblem returns the reason why the service's policy does not allow the
 // controllers this number of automatic merges, or "" if it does.
-func (tx *transaction) policyProblem(name ServiceName, merges int) string {
+func (tx *transaction) mergePolicyProblem(name ServiceName, merges int) string {
 	service, _ := tx.state.Service(name)
 	if !service.Placement.Automatic || !service.Placement.Merge {
 		return "the policy of service " + string(name) + " allows no merges"
@@ -61,13 +61,13 @@
 	if first.Service != second.Service || !follows {
 		return shardName(second.ID) + " does not follow " + shardName(first.ID)
 	}
-	if tx.state.observed(first.Service) {
+	if tx.state.isObserved(first.Service) {
 		return "service " + string(first.Service) + " is observed"
 	}
-	if problem := restProblem(first, merge.First.Epoch, merge.Owner); problem != "" {
+	if problem := ownershipProblem(first, merge.First.Epoch, merge.Owner); problem != "" {
 		return problem
 	}
-	if problem := restProblem(second, merge.Second.Epoch, merge.Owner); problem != "" {
+	if problem := ownershipProblem(second, merge.Second.Epoch, merge.Owner); problem != "" {
 		return problem
 	}
 	owner, found := tx.state.Server(merge.Owner)
@@ -77,9 +77,9 @@
 	return ""
 }
 
-// restProblem returns the reason why a shard is not stably owned by a server at an
+// ownershipProblem returns the reason why a shard is not stably owned by a server at an
 // epoch, or "" if it is.
-func restProblem(shard Shard, epoch Epoch, owner ServerID) string {
+func ownershipProblem(shard Shard, epoch Epoch, owner ServerID) string {
 	switch {
 	case shard.Phase != ShardOwned || shard.Target != "":
 		return shardName(shard.ID) + " is moving or has no owner"
--- a/internal/state/apply_merge_test.go
+++ b/internal/state/apply_merge_test.go
@@ -61,10 +61,10 @@
 		t.Errorf("merged: %+v", merged)
 	}
 	if _, found := m.state.Shard(2); found || m.state.OwnedCount("a") != 2 || m.state.AssignmentVersion("a") != merged.Revision {
-		t.Errorf("the other shard is still there, or the set of its owner did not change")
+		t.Errorf("the second shard still exists, or the assignment version of its owner did not change")
 	}
 	if result := m.merge(ShardMerge{First: ShardEpoch{1, 3}, Second: ShardEpoch{3, 1}, Owner: "a", Session: 1}); !fault.Is(result.Err, fault.Conflict) {
-		t.Errorf("merged below the least number of shards: %+v", result)
+		t.Errorf("merged below the minimum number of shards: %+v", result)
 	}
 	m.assign(3, "a")
 	if created := m.state.nextShard; created != 5 {
@@ -123,8 +123,8 @@
 	}
 }
 
-// covered reports whether the shards cover the key space without gap or overlap.
-func (m *machine) covered() bool {
+// coversKeySpace reports whether the shards cover the key space without gap or overlap.
+func (m *machine) coversKeySpace() bool {
 	next := uint64(0)
 	shards := m.state.ShardsOf("s")
 	for position, shard := range shards {
@@ -137,9 +137,9 @@
 	return len(shards) > 0
 }
 
-// follows reports whether a key's shard is a valid successor of its previous shard:
+// isSuccessor reports whether a key's shard is a valid successor of its previous shard:
 // the epoch never decreases, and increases with a new owner and with a wider range.
-func follows(before, after Shard) bool {
+func isSuccessor(before, after Shard) bool {
 	moved := before.Owner != "" && after.Owner != "" && before.Owner != after.Owner
 	if moved || after.Range.Width() > before.Range.Width() {
 		return after.Epoch > before.Epoch
@@ -161,11 +161,11 @@
 		}
 		for range 80 {
 			count := m.state.ShardCount("s")
-			m.change(random)
+			m.applyRandom(random)
 			merges += max(count-m.state.ShardCount("s"), 0)
 			for key, before := range keys {
 				after, found := m.state.ShardAt("s", key)
-				if !found || !m.covered() || !follows(before, after) {
+				if !found || !m.coversKeySpace() || !isSuccessor(before, after) {
 					t.Logf("seed %d: key %d goes from %+v to %+v", seed, key, before, after)
 					return false
 				}
--- a/internal/state/apply_mode.go
+++ b/internal/state/apply_mode.go
@@ -15,12 +15,12 @@
 	}
 	service, found := tx.state.Service(command.Service)
 	if !found || service.Mode != ModeObserved {
-		return stale("service " + string(command.Service) + " is not observed")
+		return stalePlan("service " + string(command.Service) + " is not observed")
 	}
 	for _, owned := range command.Ranges {
 		server, found := tx.state.Server(owned.Server)
 		if !found || server.Service != command.Service {
-			return stale("server " + string(owned.Server) + " is not one of the service")
+			return stalePlan("server " + string(owned.Server) + " is not one of the service")
 		}
 	}
 	return nil
@@ -30,22 +30,22 @@
 // boundaries and change owner immediately, without revocation, because the team's
 // scripts have already made the change.
 func (tx *transaction) observeRanges(command *ObserveRanges) {
-	if len(tx.state.ranges[command.Service]) == 0 {
+	if len(tx.state.shardsByRange[command.Service]) == 0 {
 		for _, owned := range command.Ranges {
 			tx.newShard(command.Service, owned.Range, Shard{Phase: ShardOwned, Owner: owned.Server, Epoch: 1})
 		}
 		return
 	}
 	for _, owned := range command.Ranges {
-		tx.cut(command.Service, owned.Range.First)
+		tx.splitAt(command.Service, owned.Range.First)
 	}
 	for _, owned := range command.Ranges {
-		tx.observe(command.Service, owned)
+		tx.setObservedOwner(command.Service, owned)
 	}
 }
 
-// observe assigns every shard within a range to its observed owner.
-func (tx *transaction) observe(service ServiceName, owned OwnedRange) {
+// setObservedOwner assigns every shard within a range to its observed owner.
+func (tx *transaction) setObservedOwner(service ServiceName, owned OwnedRange) {
 	for _, shard := range tx.state.ShardsWithin(service, owned.Range) {
 		if shard.Owner == owned.Server {
 			continue
@@ -61,10 +61,10 @@
 func (tx *transaction) checkChangeMode(command *ChangeMode) *fault.Error {
 	service, found := tx.state.Service(command.Service)
 	if !found || service.Revision != command.Revision {
-		return stale("service " + string(command.Service) + " changed")
+		return stalePlan("service " + string(command.Service) + " changed")
 	}
 	if shard, found := tx.state.Unsettled(command.Service); found {
-		return stale("shard " + strconv.FormatUint(uint64(shard), 10) + " is moving or has no owner")
+		return stalePlan("shard " + strconv.FormatUint(uint64(shard), 10) + " is moving or has no owner")
 	}
 	return nil
 }
--- a/internal/state/apply_plan.go
+++ b/internal/state/apply_plan.go
@@ -14,7 +14,7 @@
 func (tx *transaction) storePlan(command *StorePlan) Result {
 	existing, found := tx.state.Plan(command.Plan.ID)
 	if !found {
-		if answer, forgotten := tx.answerForgotten(command.Plan.ID, command.Plan.Intent); forgotten {
+		if answer, forgotten := tx.answerFromReceipt(command.Plan.ID, command.Plan.Intent); forgotten {
 			return answer
 		}
 		plan := command.Plan
@@ -23,7 +23,7 @@
 		return Result{Plan: &plan}
 	}
 	if !sameIntent(existing.Intent, command.Plan.Intent) {
-		return reusedIntent(command.Plan.Intent.ID)
+		return intentConflict(command.Plan.Intent.ID)
 	}
 	return Result{Plan: &existing}
 }
@@ -41,7 +41,7 @@
 func (tx *transaction) confirmPlan(command *ConfirmPlan) Result {
 	plan, found := tx.state.Plan(command.Plan)
 	if !found {
-		return tx.confirmForgotten(command)
+		return tx.confirmFromReceipt(command)
 	}
 	if plan.Digest != command.Digest {
 		return failure(fault.Conflict, "digest differs from the stored plan's: look at the plan again")
@@ -87,14 +87,14 @@
 	case operation.PutService != nil:
 		current := tx.state.services[operation.PutService.Name]
 		if revisionOf(current) != operation.PutService.Revision {
-			return stale("service " + string(operation.PutService.Name) + " changed")
+			return stalePlan("service " + string(operation.PutService.Name) + " changed")
 		}
 	case operation.PutServer != nil:
 		return tx.checkServer(operation.PutServer)
 	case operation.CreateShards != nil:
 		service := operation.CreateShards.Service
-		if !created || len(tx.state.ranges[service]) > 0 {
-			return stale("service " + string(service) + " already has shards")
+		if !created || len(tx.state.shardsByRange[service]) > 0 {
+			return stalePlan("service " + string(service) + " already has shards")
 		}
 	case operation.IsolateKey != nil:
 		isolate := operation.IsolateKey
@@ -107,13 +107,13 @@
 		return tx.checkChangeMode(operation.ChangeMode)
 	case operation.PutZone != nil:
 		if tx.state.directory.Evacuated(operation.PutZone.Name) == operation.PutZone.Evacuated {
-			return stale("zone " + operation.PutZone.Name + " changed")
+			return stalePlan("zone " + operation.PutZone.Name + " changed")
 		}
 	case operation.Release != nil:
 		return tx.checkRelease(*operation.Release)
 	case operation.MergeShards != nil:
 		if problem := tx.mergeProblem(*operation.MergeShards); problem != "" {
-			return stale(problem)
+			return stalePlan(problem)
 		}
 	}
 	return nil
@@ -132,7 +132,7 @@
 		return nil
 	}
 	if !found || current.ConfigRevision != planned.ConfigRevision {
-		return stale("server " + string(planned.ID) + " changed")
+		return stalePlan("server " + string(planned.ID) + " changed")
 	}
 	return nil
 }
@@ -140,22 +140,22 @@
 func (tx *transaction) checkMove(move MoveShard) *fault.Error {
 	shard, found := tx.state.Shard(move.Shard)
 	if !found || shard.Epoch != move.Epoch || shard.Phase != ShardOwned || shard.Target != "" {
-		return stale("a shard of the plan changed its owner or is moving")
+		return stalePlan("a shard of the plan changed its owner or is moving")
 	}
-	if tx.state.observed(shard.Service) {
-		return stale("service " + string(shard.Service) + " is observed")
+	if tx.state.isObserved(shard.Service) {
+		return stalePlan("service " + string(shard.Service) + " is observed")
 	}
 	if move.From != "" && shard.Owner != move.From {
-		return stale("a shard of the plan changed its owner")
+		return stalePlan("a shard of the plan changed its owner")
 	}
 	target, found := tx.state.Server(move.To)
 	if !found || !target.Session.Open || target.Intent != ServerActive {
-		return stale("server " + string(move.To) + " can no longer take shards")
+		return stalePlan("server " + string(move.To) + " can no longer take shards")
 	}
 	return nil
 }
 
-func stale(detail string) *fault.Error {
+func stalePlan(detail string) *fault.Error {
 	return fault.New(fault.StalePlan, detail+": plan again")
 }
 
@@ -180,13 +180,14 @@
 	case operation.PutZone != nil:
 		tx.changeDirectory(directory.Command{Zone: operation.PutZone})
 	case operation.Release != nil:
-		tx.release(*operation.Release)
+		tx.releaseFromQuarantine(*operation.Release)
 	case operation.MergeShards != nil:
 		tx.merge(*operation.MergeShards)
 	}
 }
 
-// applyServer takes the operator's part of a server and keeps the rest.
+// applyServer replaces the configuration of a server. It keeps the session and Leaving, which
+// operators do not set, and takes Evacuated from the zone.
 func (tx *transaction) applyServer(planned Server) {
 	current, found := tx.state.Server(planned.ID)
 	if found {
@@ -198,7 +199,7 @@
 	tx.putServer(planned)
 }
 
-// createShards cuts the key space into equal ranges without owners.
+// createShards divides the key space into equal, unowned shards.
 func (tx *transaction) createShards(command *CreateShards) {
 	count := uint64(command.Count)
 	for position := range count {
@@ -233,18 +234,18 @@
 // yet.
 func (tx *transaction) isolateKey(command *IsolateKey) {
 	whole, _ := tx.state.Shard(command.Shard)
-	tx.cut(whole.Service, command.Hash)
+	tx.splitAt(whole.Service, command.Hash)
 	if command.Hash < whole.Range.Last {
-		tx.cut(whole.Service, command.Hash+1)
+		tx.splitAt(whole.Service, command.Hash+1)
 	}
-	alone, _ := tx.state.ShardAt(whole.Service, command.Hash)
-	alone.Target = command.To
-	tx.putShard(alone)
+	isolated, _ := tx.state.ShardAt(whole.Service, command.Hash)
+	isolated.Target = command.To
+	tx.putShard(isolated)
 }
 
-// cut splits the shard that contains a hash so that a shard begins at the hash.
+// splitAt splits the shard that contains a hash so that a shard begins at the hash.
 // The lower part keeps the identifier.
-func (tx *transaction) cut(service ServiceName, first uint64) {
+func (tx *transaction) splitAt(service ServiceName, first uint64) {
 	shard, found := tx.state.ShardAt(service, first)
 	if !found || shard.Range.First == first {
 		return
--- a/internal/state/apply_split.go
+++ b/internal/state/apply_split.go
@@ -5,15 +5,15 @@
 func (tx *transaction) splitShards(command *SplitShards) Result {
 	for _, part := range command.Parts {
 		shard, found := tx.state.Shard(part.Shard)
-		if found && tx.maySplit(shard, part) {
-			tx.cutOut(shard, part.Range)
-			tx.aim(shard.Service, part)
+		if found && tx.canSplit(shard, part) {
+			tx.splitOut(shard, part.Range)
+			tx.setPartTarget(shard.Service, part)
 		}
 	}
 	return Result{}
 }
 
-func (tx *transaction) maySplit(shard Shard, part ShardPart) bool {
+func (tx *transaction) canSplit(shard Shard, part ShardPart) bool {
 	service, found := tx.state.Service(shard.Service)
 	if !found || service.Mode == ModeObserved || !service.Placement.Automatic {
 		return false
@@ -21,31 +21,31 @@
 	if shard.Phase != ShardOwned || shard.Target != "" || shard.Epoch != part.Epoch {
 		return false
 	}
-	if part.To != "" && (part.To == shard.Owner || !tx.takes(part.To, shard.Service)) {
+	if part.To != "" && (part.To == shard.Owner || !tx.canBeTarget(part.To, shard.Service)) {
 		return false
 	}
 	inside := shard.Range.First <= part.Range.First && part.Range.First <= part.Range.Last && part.Range.Last <= shard.Range.Last
 	return inside && part.Range != shard.Range
 }
 
-// cutOut splits a shard so that the given part of its range becomes a separate shard.
-func (tx *transaction) cutOut(whole Shard, part KeyRange) {
+// splitOut splits a shard so that the given part of its range becomes a separate shard.
+func (tx *transaction) splitOut(whole Shard, part KeyRange) {
 	if whole.Range.First < part.First {
-		tx.cut(whole.Service, part.First)
+		tx.splitAt(whole.Service, part.First)
 	}
 	if part.Last < whole.Range.Last {
-		tx.cut(whole.Service, part.Last+1)
+		tx.splitAt(whole.Service, part.Last+1)
 	}
 }
 
-// takes reports whether a server belongs to the service and can be the target of a move.
-func (tx *transaction) takes(id ServerID, service ServiceName) bool {
+// canBeTarget reports whether a server belongs to the service and can be the target of a move.
+func (tx *transaction) canBeTarget(id ServerID, service ServiceName) bool {
 	server, found := tx.state.Server(id)
 	return found && server.Service == service && server.Session.Open && server.Intent == ServerActive
 }
 
-// aim sets the target of the shard that was split off, if the part names one.
-func (tx *transaction) aim(service ServiceName, part ShardPart) {
+// setPartTarget sets the target of the shard that was split off, if the part names one.
+func (tx *transaction) setPartTarget(service ServiceName, part ShardPart) {
 	shard, found := tx.state.ShardAt(service, part.Range.First)
 	if found && part.To != "" {
 		shard.Target = part.To
--- a/internal/state/apply_split_test.go
+++ b/internal/state/apply_split_test.go
@@ -49,7 +49,7 @@
 	part, _ := m.state.ShardAt("s", middle.First)
 	hot := KeyRange{First: middle.First + 5, Last: middle.First + 5}
 	if count := split(ShardPart{Shard: part.ID, Epoch: part.Epoch, Range: hot, To: "b"}); count != 6 {
-		t.Fatalf("want the hot key alone: %d shards", count)
+		t.Fatalf("want the hot key in a shard of its own: %d shards", count)
 	}
 	if alone, _ := m.state.ShardAt("s", hot.First); alone.Range != hot || alone.Target != "b" || alone.Owner != "a" {
 		t.Errorf("the hot key's shard: %+v", alone)
--- a/internal/state/apply_test.go
+++ b/internal/state/apply_test.go
@@ -90,7 +90,7 @@
 	m.apply(Command{RevokeShards: &RevokeShards{Moves: []MoveShard{{Shard: 1, Epoch: 1, From: "a", To: "b"}}}})
 	m.assign(1, "b")
 	if shard, _ := m.state.Shard(1); shard.Owner != "a" || shard.Phase != ShardRevoking {
-		t.Fatalf("a shard was given away before its owner released it: %+v", shard)
+		t.Fatalf("a shard was reassigned before its owner released it: %+v", shard)
 	}
 	m.apply(Command{ReleaseShards: &ReleaseShards{Server: "a", Shards: []ShardEpoch{{Shard: 1, Epoch: 1}}}})
 	m.assign(1, "b")
@@ -130,7 +130,7 @@
 	}
 	m.assign(1, "a")
 	if shard, _ := m.state.Shard(1); shard.Owner != "" {
-		t.Fatal("a shard was given to a server without a session")
+		t.Fatal("a shard was assigned to a server without an open session")
 	}
 	m.apply(Command{OpenSession: &OpenSession{Server: "a", Incarnation: "new", After: 1}})
 	if server, _ := m.state.Server("a"); server.Session.Number != 2 {
@@ -170,20 +170,20 @@
 	resent.Intent.Operator = "second"
 	resent.Digest = "other"
 	if answer := m.apply(Command{StorePlan: &StorePlan{Plan: resent}}); answer.Err != nil || answer.Plan.Digest != "d" {
-		t.Errorf("a resend must get the first answer: %+v", answer)
+		t.Errorf("a retry must get the original answer: %+v", answer)
 	}
 	other := plan
 	other.Intent.MoveKey = &MoveKey{Service: "s", Key: "another"}
 	if answer := m.apply(Command{StorePlan: &StorePlan{Plan: other}}); answer.Err == nil || answer.Err.Kind != fault.Conflict {
-		t.Errorf("equal identifiers with other content must conflict: %+v", answer)
+		t.Errorf("the same identifier with different content must conflict: %+v", answer)
 	}
 	if answer := m.apply(Command{ConfirmPlan: &ConfirmPlan{Plan: "i", Digest: "wrong"}}); answer.Err == nil || answer.Err.Kind != fault.Conflict {
-		t.Errorf("a digest that differs must conflict: %+v", answer)
+		t.Errorf("a different digest must conflict: %+v", answer)
 	}
 	first := m.apply(Command{ConfirmPlan: &ConfirmPlan{Plan: "i", Digest: "d"}})
 	again := m.apply(Command{ConfirmPlan: &ConfirmPlan{Plan: "i", Digest: "d"}})
 	if first.Err != nil || again.Err != nil || again.Plan.Accepted != first.Plan.Accepted || len(again.Changed) != 0 {
-		t.Errorf("a resent confirmation must get the first answer: %+v then %+v", first, again)
+		t.Errorf("a repeated confirmation must get the original answer: %+v then %+v", first, again)
 	}
 }
 
@@ -199,7 +199,7 @@
 	}
 	second := m.apply(Command{ConfirmPlan: &ConfirmPlan{Plan: "two"}})
 	if second.Err == nil || second.Err.Kind != fault.StalePlan || len(second.Changed) != 0 {
-		t.Errorf("the second plan rests on a shard that moves already: %+v", second)
+		t.Errorf("the second plan must be stale, because its shard is already moving: %+v", second)
 	}
 }
 
--- a/internal/state/digest.go
+++ b/internal/state/digest.go
@@ -26,16 +26,16 @@
 	return xxhash.Sum64(encoded)
 }
 
-// shardRoom is the initial buffer size in bytes, enough for a shard with names of
+// shardBufferSize is the initial buffer size in bytes, enough for a shard with names of
 // usual length.
-const shardRoom = 256
+const shardBufferSize = 256
 
 // shardDigest returns the digest of an object that holds the shard. The fields are
 // encoded one by one, without reflection, because the loss of a zone changes tens of
 // thousands of shards within the duration of a lease.
 func shardDigest(shard *Shard) uint64 {
-	var room [shardRoom]byte
-	encoded := bytes.NewBuffer(room[:0])
+	var buffer [shardBufferSize]byte
+	encoded := bytes.NewBuffer(buffer[:0])
 	encodeShardObject(encoded, shard)
 	return xxhash.Sum64(encoded.Bytes())
 }
@@ -46,22 +46,22 @@
 	fields := fieldEncoder{encoder: msgpack.GetEncoder()}
 	defer msgpack.PutEncoder(fields.encoder)
 	fields.encoder.Reset(encoded)
-	fields.open("S", shardFieldCount(shard))
+	fields.beginObject("S", shardFieldCount(shard))
 	fields.number("i", uint64(shard.ID))
 	fields.text("s", string(shard.Service))
 	const rangeFields = 2
 	fields.name("r")
-	fields.size(rangeFields)
+	fields.mapLen(rangeFields)
 	fields.number("f", shard.Range.First)
 	fields.number("l", shard.Range.Last)
 	fields.text("p", string(shard.Phase))
-	fields.optional("o", string(shard.Owner))
+	fields.optionalText("o", string(shard.Owner))
 	fields.number("e", uint64(shard.Epoch))
-	fields.optional("t", string(shard.Target))
+	fields.optionalText("t", string(shard.Target))
 	fields.number("v", uint64(shard.Revision))
-	if fields.failed != nil {
+	if fields.err != nil {
 		// Unreachable: writes to a bytes.Buffer do not fail.
-		panic("state: encode shard: " + fields.failed.Error())
+		panic("state: encode shard: " + fields.err.Error())
 	}
 }
 
@@ -82,37 +82,37 @@
 // fieldEncoder writes the fields of an object and keeps the first error.
 type fieldEncoder struct {
 	encoder *msgpack.Encoder
-	failed  error
+	err     error
 }
 
-func (f *fieldEncoder) note(err error) {
-	if f.failed == nil {
-		f.failed = err
+func (f *fieldEncoder) recordError(err error) {
+	if f.err == nil {
+		f.err = err
 	}
 }
 
-// open begins a map with the single entry name, itself a map with the given number
+// beginObject begins a map with the single entry name, itself a map with the given number
 // of fields.
-func (f *fieldEncoder) open(name string, fields int) {
-	f.size(1)
+func (f *fieldEncoder) beginObject(name string, fields int) {
+	f.mapLen(1)
 	f.name(name)
-	f.size(fields)
+	f.mapLen(fields)
 }
 
-func (f *fieldEncoder) size(fields int)  { f.note(f.encoder.EncodeMapLen(fields)) }
-func (f *fieldEncoder) name(name string) { f.note(f.encoder.EncodeString(name)) }
+func (f *fieldEncoder) mapLen(fields int) { f.recordError(f.encoder.EncodeMapLen(fields)) }
+func (f *fieldEncoder) name(name string)  { f.recordError(f.encoder.EncodeString(name)) }
 
 func (f *fieldEncoder) number(name string, value uint64) {
 	f.name(name)
-	f.note(f.encoder.EncodeUint(value))
+	f.recordError(f.encoder.EncodeUint(value))
 }
 
 func (f *fieldEncoder) text(name, value string) {
 	f.name(name)
-	f.note(f.encoder.EncodeString(value))
+	f.recordError(f.encoder.EncodeString(value))
 }
 
-func (f *fieldEncoder) optional(name, value string) {
+func (f *fieldEncoder) optionalText(name, value string) {
 	if value != "" {
 		f.text(name, value)
 	}
--- a/internal/state/digest_test.go
+++ b/internal/state/digest_test.go
@@ -14,21 +14,21 @@
 	"github.com/thorntiller/thorntiller/internal/codec"
 )
 
-// edges are values at which msgpack changes the encoding of an integer.
-var edges = []any{
+// integerBoundaries are values at which msgpack changes the encoding of an integer.
+var integerBoundaries = []any{
 	uint64(0), uint64(0x7f), uint64(0x80), uint64(math.MaxUint8), uint64(math.MaxUint8 + 1), uint64(math.MaxUint16),
 	uint64(math.MaxUint16 + 1), uint64(math.MaxUint32), uint64(math.MaxUint32 + 1), uint64(math.MaxUint64),
 }
 
-// lengths are those at which msgpack changes the encoding of a string.
-var lengths = []any{0, 1, 31, 32, 255, 256, 65_535, 65_536}
+// stringLengths are those at which msgpack changes the encoding of a string.
+var stringLengths = []any{0, 1, 31, 32, 255, 256, 65_535, 65_536}
 
 // TestShardDigest compares the bytes that are hashed with the codec's encoding:
 // controllers and routers of different versions must agree on them.
 func TestShardDigest(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(1))
-	number := gen.OneGenOf(gen.OneConstOf(edges...), gen.UInt64())
-	length := gen.OneConstOf(lengths...)
+	number := gen.OneGenOf(gen.OneConstOf(integerBoundaries...), gen.UInt64())
+	length := gen.OneConstOf(stringLengths...)
 	properties.Property("a shard is encoded as the codec does it", prop.ForAll(
 		func(numbers []uint64, lengths []int, phase ShardPhase) bool {
 			shard := Shard{
@@ -51,6 +51,6 @@
 func TestShardFields(t *testing.T) {
 	const known = 8
 	if fields := reflect.TypeFor[Shard]().NumField(); fields != known {
-		t.Errorf("a shard has %d fields: put the new one into encodeShardObject and into TestShardDigest", fields)
+		t.Errorf("a shard has %d fields: add the new one to encodeShardObject and TestShardDigest", fields)
 	}
 }
--- a/internal/state/partitions_test.go
+++ b/internal/state/partitions_test.go
@@ -57,7 +57,7 @@
 	seen := make(map[string]bool)
 	for _, object := range result.Changed {
 		if seen[object.Key()] {
-			t.Errorf("%s comes twice", object.Key())
+			t.Errorf("%s is listed twice", object.Key())
 		}
 		seen[object.Key()] = true
 	}
--- a/internal/state/put.go
+++ b/internal/state/put.go
@@ -10,9 +10,9 @@
 func (s *State) put(object Object) {
 	previous, existed := s.lookup(object)
 	if existed {
-		s.changeDigest(previous)
+		s.toggleDigest(previous)
 	}
-	s.changeDigest(object)
+	s.toggleDigest(object)
 	switch {
 	case object.Deleted && object.Router != nil:
 		delete(s.routers, object.Router.ID)
@@ -31,13 +31,13 @@
 	}
 }
 
-// changeDigest adds an object to the digests or removes it from them; with XOR both
+// toggleDigest adds an object to the digests or removes it from them; with XOR both
 // are the same operation.
-func (s *State) changeDigest(object Object) {
+func (s *State) toggleDigest(object Object) {
 	digest := ObjectDigest(object)
 	s.digest ^= digest
-	s.sections.change(object, digest)
-	s.differences.change(object, digest)
+	s.sections.toggle(object, digest)
+	s.differences.toggle(object, digest)
 }
 
 func (s *State) lookup(object Object) (Object, bool) {
@@ -64,7 +64,7 @@
 		s.insertRange(shard)
 	} else if previous.Owner != "" {
 		delete(s.owned[previous.Owner], previous.ID)
-		s.versions[previous.Owner] = shard.Revision
+		s.assignmentVersions[previous.Owner] = shard.Revision
 	}
 	s.shards[shard.ID] = shard
 	if shard.Owner != "" {
@@ -72,7 +72,7 @@
 			s.owned[shard.Owner] = make(map[ShardID]*Shard)
 		}
 		s.owned[shard.Owner][shard.ID] = shard
-		s.versions[shard.Owner] = shard.Revision
+		s.assignmentVersions[shard.Owner] = shard.Revision
 	}
 	s.active.put(previous, shard)
 }
@@ -81,14 +81,14 @@
 // Range.First. No two shards of a service share that value once a command has been
 // applied.
 func (s *State) insertRange(shard *Shard) {
-	ids := s.ranges[shard.Service]
+	ids := s.shardsByRange[shard.Service]
 	s.shards[shard.ID] = shard
 	if len(ids) == 0 || s.shards[ids[len(ids)-1]].Range.First < shard.Range.First {
-		s.ranges[shard.Service] = append(ids, shard.ID)
+		s.shardsByRange[shard.Service] = append(ids, shard.ID)
 		return
 	}
 	position, _ := s.rangePosition(shard.Service, shard.Range.First)
-	s.ranges[shard.Service] = slices.Insert(ids, position, shard.ID)
+	s.shardsByRange[shard.Service] = slices.Insert(ids, position, shard.ID)
 }
 
 // removeShard removes a shard that was merged into another from every index.
@@ -96,19 +96,19 @@
 	s.totals.remove(previous)
 	s.active.remove(previous)
 	if position, found := s.rangePosition(previous.Service, previous.Range.First); found {
-		s.ranges[previous.Service] = slices.Delete(s.ranges[previous.Service], position, position+1)
+		s.shardsByRange[previous.Service] = slices.Delete(s.shardsByRange[previous.Service], position, position+1)
 	}
 	delete(s.shards, previous.ID)
 	if previous.Owner != "" {
 		delete(s.owned[previous.Owner], previous.ID)
-		s.versions[previous.Owner] = revision
+		s.assignmentVersions[previous.Owner] = revision
 	}
 }
 
 // rangePosition returns the position in a service's sorted list of the shard that
 // begins at a hash, or the position at which it would be inserted.
 func (s *State) rangePosition(service ServiceName, first uint64) (int, bool) {
-	return slices.BinarySearchFunc(s.ranges[service], first, func(id ShardID, first uint64) int {
+	return slices.BinarySearchFunc(s.shardsByRange[service], first, func(id ShardID, first uint64) int {
 		return cmp.Compare(s.shards[id].Range.First, first)
 	})
 }
--- a/internal/state/receipt.go
+++ b/internal/state/receipt.go
@@ -32,11 +32,11 @@
 	byPlan map[PlanID]*Receipt
 	// order lists the receipts, oldest first. Its elements are never modified.
 	order     []*Receipt
-	forgotten forgottenIDs
+	discarded discardedIDs
 }
 
-// forgottenIDs records which unknown identifiers may belong to discarded receipts.
-type forgottenIDs struct {
+// discardedIDs records which unknown identifiers may belong to discarded receipts.
+type discardedIDs struct {
 	// NewestMs is the newest timestamp of a discarded identifier that contains one,
 	// in Unix milliseconds.
 	NewestMs int64 `msgpack:",omitempty"`
@@ -44,8 +44,8 @@
 	Untimed bool `msgpack:",omitempty"`
 }
 
-func (f *forgottenIDs) add(id PlanID) {
-	drawnMs, timed := drawnAt(id)
+func (f *discardedIDs) add(id PlanID) {
+	drawnMs, timed := idTimestamp(id)
 	f.NewestMs = max(f.NewestMs, drawnMs)
 	f.Untimed = f.Untimed || !timed
 }
@@ -61,14 +61,14 @@
 		oldest := r.order[0]
 		r.order = r.order[1:]
 		delete(r.byPlan, oldest.Plan)
-		r.forgotten.add(oldest.Plan)
+		r.discarded.add(oldest.Plan)
 	}
 }
 
 // receiptOf returns the receipt to keep when a plan is discarded.
 func receiptOf(plan *Plan) *Receipt {
 	receipt := &Receipt{
-		Plan: plan.ID, Content: contentOf(plan.Intent), Status: plan.Status, Digest: plan.Digest,
+		Plan: plan.ID, Content: intentHash(plan.Intent), Status: plan.Status, Digest: plan.Digest,
 		Accepted: plan.Accepted, ConfirmedBy: plan.ConfirmedBy,
 	}
 	if plan.Status == PlanStored {
@@ -77,8 +77,8 @@
 	return receipt
 }
 
-// contentOf returns the hash of an intent without its operator.
-func contentOf(intent Intent) uint64 {
+// intentHash returns the hash of an intent without its operator.
+func intentHash(intent Intent) uint64 {
 	intent.Operator = ""
 	encoded, err := codec.Marshal(&intent)
 	if err != nil {
@@ -88,14 +88,14 @@
 	return xxhash.Sum64(encoded)
 }
 
-// timedVersion is the UUID version that begins with a Unix timestamp.
-const timedVersion = 7
+// timestampUUIDVersion is the UUID version that begins with a Unix timestamp.
+const timestampUUIDVersion = 7
 
-// drawnAt returns the timestamp of an identifier in Unix milliseconds. Only a UUID
+// idTimestamp returns the timestamp of an identifier in Unix milliseconds. Only a UUID
 // of version 7 contains one.
-func drawnAt(id PlanID) (int64, bool) {
+func idTimestamp(id PlanID) (int64, bool) {
 	parsed, err := uuid.Parse(string(id))
-	if err != nil || parsed.Version() != timedVersion {
+	if err != nil || parsed.Version() != timestampUUIDVersion {
 		return 0, false
 	}
 	const timeBytes = 6
@@ -119,28 +119,28 @@
 // its timestamp is not after the newest discarded one, or it has no timestamp and
 // identifiers without one have been discarded.
 func (s *State) Expired(id PlanID) bool {
-	drawnMs, timed := drawnAt(id)
+	drawnMs, timed := idTimestamp(id)
 	if !timed {
-		return s.receipts.forgotten.Untimed
+		return s.receipts.discarded.Untimed
 	}
-	return drawnMs <= s.receipts.forgotten.NewestMs
+	return drawnMs <= s.receipts.discarded.NewestMs
 }
 
 // DrawnAfter reports whether an identifier contains a timestamp later than the given
 // time in Unix milliseconds.
 func DrawnAfter(id IntentID, unixMs int64) bool {
-	drawnMs, timed := drawnAt(PlanID(id))
+	drawnMs, timed := idTimestamp(PlanID(id))
 	return timed && drawnMs > unixMs
 }
 
-// answerForgotten answers a retry of an intent whose plan was discarded. The answer
+// answerFromReceipt answers a retry of an intent whose plan was discarded. The answer
 // is the original one without the plan's operations. It returns false if the
 // identifier is new, so that the intent is to be planned.
-func (tx *transaction) answerForgotten(id PlanID, intent Intent) (Result, bool) {
+func (tx *transaction) answerFromReceipt(id PlanID, intent Intent) (Result, bool) {
 	receipt, found := tx.state.Receipt(id)
 	switch {
-	case found && receipt.Content != contentOf(intent):
-		return reusedIntent(intent.ID), true
+	case found && receipt.Content != intentHash(intent):
+		return intentConflict(intent.ID), true
 	case found:
 		return Result{Plan: receipt.plan(intent)}, true
 	case tx.state.Expired(id):
@@ -163,9 +163,9 @@
 	}
 }
 
-// confirmForgotten answers the confirmation of a plan that is no longer stored. It
+// confirmFromReceipt answers the confirmation of a plan that is no longer stored. It
 // never changes the state.
-func (tx *transaction) confirmForgotten(command *ConfirmPlan) Result {
+func (tx *transaction) confirmFromReceipt(command *ConfirmPlan) Result {
 	receipt, found := tx.state.Receipt(command.Plan)
 	switch {
 	case !found && tx.state.Expired(command.Plan):
@@ -181,6 +181,6 @@
 	}
 }
 
-func reusedIntent(id IntentID) Result {
+func intentConflict(id IntentID) Result {
 	return failure(fault.Conflict, "intent_id "+string(id)+" was used before with other content: choose a new intent_id")
 }
--- a/internal/state/receipt_test.go
+++ b/internal/state/receipt_test.go
@@ -14,7 +14,7 @@
 // timedID returns an identifier generated at a time in Unix milliseconds.
 func timedID(unixMs int) PlanID {
 	var id uuid.UUID
-	binary.BigEndian.PutUint64(id[:8], uint64(unixMs)<<16|timedVersion<<12)
+	binary.BigEndian.PutUint64(id[:8], uint64(unixMs)<<16|timestampUUIDVersion<<12)
 	binary.BigEndian.PutUint64(id[8:], 1<<63|uint64(unixMs))
 	return PlanID(id.String())
 }
@@ -71,7 +71,7 @@
 func (m *machine) wantReceipts(first *Plan, confirm Command, left Plan) {
 	m.t.Helper()
 	if _, whole := m.state.Plan(first.ID); whole {
-		m.t.Fatal("the plan is not forgotten")
+		m.t.Fatal("the plan is still stored")
 	}
 	resent := planOf(first.ID, "s")
 	resent.Intent.Operator = "another"
@@ -98,7 +98,7 @@
 		m.store(planOf(timedID(1000+number), "s"))
 	}
 	if result := m.store(planOf("chosen", "s")); result.Err != nil {
-		t.Errorf("an identifier without a time, none of which is forgotten: %v", result.Err)
+		t.Errorf("an identifier without a timestamp, before any such was discarded: %v", result.Err)
 	}
 	if kept := len(m.state.receipts.order); kept != MaxReceipts || len(m.state.receipts.byPlan) != MaxReceipts {
 		t.Errorf("%d receipts are kept", kept)
@@ -106,20 +106,20 @@
 	// Storing the plan with the chosen identifier evicted one more receipt.
 	const lastForgotten = 1000 + over
 	old := timedID(lastForgotten - 1)
-	m.wantError("a forgotten intent", fault.IntentExpired, Command{StorePlan: &StorePlan{Plan: planOf(old, "s")}})
+	m.wantError("a discarded intent", fault.IntentExpired, Command{StorePlan: &StorePlan{Plan: planOf(old, "s")}})
 	m.wantError("its confirmation", fault.IntentExpired, Command{ConfirmPlan: &ConfirmPlan{Plan: old, Digest: "d-" + string(old)}})
-	m.wantError("an unknown one as old", fault.IntentExpired, Command{StorePlan: &StorePlan{Plan: planOf(timedID(10), "s")}})
+	m.wantError("an unknown identifier as old", fault.IntentExpired, Command{StorePlan: &StorePlan{Plan: planOf(timedID(10), "s")}})
 	if result := m.store(planOf(timedID(lastForgotten+1), "s")); result.Err != nil || !result.Plan.Forgotten {
-		t.Errorf("the oldest that is kept: %+v", result)
+		t.Errorf("the oldest receipt that is kept: %+v", result)
 	}
 	if result := m.store(planOf(timedID(1_000_000), "s")); result.Err != nil || result.Plan.Forgotten {
 		t.Errorf("a new intent: %+v", result)
 	}
-	m.wantError("a confirmation of nothing", fault.NotFound, Command{ConfirmPlan: &ConfirmPlan{Plan: "unknown"}})
+	m.wantError("the confirmation of an unknown plan", fault.NotFound, Command{ConfirmPlan: &ConfirmPlan{Plan: "unknown"}})
 	for number := range MaxPlans + MaxReceipts {
 		m.store(planOf(timedID(2_000_000+number), "s"))
 	}
-	m.wantError("one without a time, as a forgotten one", fault.IntentExpired, Command{StorePlan: &StorePlan{Plan: planOf("other", "s")}})
+	m.wantError("no timestamp, as a discarded identifier", fault.IntentExpired, Command{StorePlan: &StorePlan{Plan: planOf("other", "s")}})
 }
 
 // BenchmarkReceipts measures what receipts add to a state's snapshot and heap, with
@@ -131,7 +131,7 @@
 		id := uuid.MustParse(string(timedID(1_700_000_000_000 + number*7919)))
 		binary.BigEndian.PutUint64(id[8:], 1<<63|random.Uint64()>>2)
 		plan := planOf(PlanID(id.String()), "s")
-		plan.Digest = fmt.Sprintf("%016x", contentOf(plan.Intent))
+		plan.Digest = fmt.Sprintf("%016x", intentHash(plan.Intent))
 		plan.Status, plan.Accepted, plan.ConfirmedBy = PlanConfirmed, Revision(number), "operator-one"
 		full.receipts.add(receiptOf(&plan))
 	}
--- a/internal/state/section.go
+++ b/internal/state/section.go
@@ -24,9 +24,9 @@
 	}
 }
 
-// change adds an object's digest to its section or removes it; with XOR both are the
+// toggle adds an object's digest to its section or removes it; with XOR both are the
 // same operation.
-func (d SectionDigests) change(object Object, digest uint64) {
+func (d SectionDigests) toggle(object Object, digest uint64) {
 	section := object.Section()
 	d[section] ^= digest
 	if d[section] == 0 {
--- a/internal/state/section_test.go
+++ b/internal/state/section_test.go
@@ -15,7 +15,7 @@
 	sections := make(SectionDigests)
 	whole := uint64(0)
 	for _, object := range view.Objects() {
-		sections.change(object, ObjectDigest(object))
+		sections.toggle(object, ObjectDigest(object))
 		whole ^= ObjectDigest(object)
 	}
 	return sections, whole
@@ -45,10 +45,10 @@
 				}
 			}
 			if !maps.Equal(before, m.state.SectionDigests()) {
-				t.Logf("differences %v do not lead to %v", result.Differences, m.state.SectionDigests())
+				t.Logf("differences %v do not produce %v", result.Differences, m.state.SectionDigests())
 				return false
 			}
-			m.change(random)
+			m.applyRandom(random)
 			sections, whole := sectionsOf(m.state)
 			if whole != m.state.Digest() || !maps.Equal(sections, m.state.SectionDigests()) {
 				t.Logf("got %v, want %v", m.state.SectionDigests(), sections)
--- a/internal/state/snapshot.go
+++ b/internal/state/snapshot.go
@@ -27,7 +27,7 @@
 	partitions []*RecordPartition
 	plans      []Plan
 	receipts   []*Receipt
-	forgotten  forgottenIDs
+	discarded  discardedIDs
 	versions   []serverVersion
 	directory  *directory.Directory
 }
@@ -42,7 +42,7 @@
 	// Receipts are those of discarded plans, oldest first. Forgotten summarizes the
 	// identifiers whose receipts were discarded too.
 	Receipts  []*Receipt `msgpack:",omitempty"`
-	Forgotten forgottenIDs
+	Forgotten discardedIDs
 	// Directory is the whole content of the directory.
 	Directory directory.Content `msgpack:",omitempty"`
 }
@@ -66,11 +66,11 @@
 		partitions: references(s.partitions),
 		plans:      s.Plans(),
 		receipts:   s.receipts.order[:len(s.receipts.order):len(s.receipts.order)],
-		forgotten:  s.receipts.forgotten,
-		versions:   make([]serverVersion, 0, len(s.versions)),
+		discarded:  s.receipts.discarded,
+		versions:   make([]serverVersion, 0, len(s.assignmentVersions)),
 		directory:  s.directory.Clone(),
 	}
-	for server, version := range s.versions {
+	for server, version := range s.assignmentVersions {
 		frozen.versions = append(frozen.versions, serverVersion{Server: server, Version: version})
 	}
 	return frozen
@@ -127,7 +127,7 @@
 		Plans:     f.plans,
 		Versions:  f.versions,
 
-		Receipts: f.receipts, Forgotten: f.forgotten,
+		Receipts: f.receipts, Forgotten: f.discarded,
 		Directory: f.directory.Since(0),
 	})
 	if err != nil {
@@ -179,11 +179,11 @@
 	for _, receipt := range decoded.Receipts {
 		restored.receipts.add(receipt)
 	}
-	restored.receipts.forgotten = decoded.Forgotten
+	restored.receipts.discarded = decoded.Forgotten
 	restored.directory.Merge(decoded.Directory)
-	clear(restored.versions)
+	clear(restored.assignmentVersions)
 	for _, version := range decoded.Versions {
-		restored.versions[version.Server] = version.Version
+		restored.assignmentVersions[version.Server] = version.Version
 	}
 	restored.differences = make(SectionDigests)
 	restored.revision = decoded.Revision
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -30,18 +30,18 @@
 	plans       map[PlanID]*Plan
 	planOrder   []PlanID
 	receipts    receipts
-	// ranges lists each service's shards, sorted by range.
-	ranges map[ServiceName][]ShardID
+	// shardsByRange lists each service's shards, sorted by range.
+	shardsByRange map[ServiceName][]ShardID
 	// owned indexes the shards by their owner.
 	owned map[ServerID]map[ShardID]*Shard
-	// versions holds, for each server, the revision at which the set of shards
+	// assignmentVersions holds, for each server, the revision at which the set of shards
 	// that it may serve last changed.
-	versions map[ServerID]Revision
+	assignmentVersions map[ServerID]Revision
 	// active indexes the shards that the controllers must act on: unowned,
 	// revoking, or owned with a target.
 	active activeIndex
 	totals totals
-	// directory is used only by routers that forward requests by route; the digests do
+	// directory is the state by which gateways route requests; the digests do
 	// not cover it.
 	directory *directory.Directory
 }
@@ -49,22 +49,22 @@
 // New returns the empty state.
 func New() *State {
 	return &State{
-		nextShard:   1,
-		sections:    make(SectionDigests),
-		differences: make(SectionDigests),
-		services:    make(map[ServiceName]*Service),
-		servers:     make(map[ServerID]*Server),
-		shards:      make(map[ShardID]*Shard),
-		routers:     make(map[RouterID]*Router),
-		partitions:  make(map[int]*RecordPartition),
-		plans:       make(map[PlanID]*Plan),
-		receipts:    newReceipts(),
-		ranges:      make(map[ServiceName][]ShardID),
-		owned:       make(map[ServerID]map[ShardID]*Shard),
-		versions:    make(map[ServerID]Revision),
-		active:      newActiveIndex(),
-		totals:      newTotals(),
-		directory:   directory.New(),
+		nextShard:          1,
+		sections:           make(SectionDigests),
+		differences:        make(SectionDigests),
+		services:           make(map[ServiceName]*Service),
+		servers:            make(map[ServerID]*Server),
+		shards:             make(map[ShardID]*Shard),
+		routers:            make(map[RouterID]*Router),
+		partitions:         make(map[int]*RecordPartition),
+		plans:              make(map[PlanID]*Plan),
+		receipts:           newReceipts(),
+		shardsByRange:      make(map[ServiceName][]ShardID),
+		owned:              make(map[ServerID]map[ShardID]*Shard),
+		assignmentVersions: make(map[ServerID]Revision),
+		active:             newActiveIndex(),
+		totals:             newTotals(),
+		directory:          directory.New(),
 	}
 }
 
@@ -187,7 +187,7 @@
 
 // ShardsOf returns a service's shards, sorted by range.
 func (s *State) ShardsOf(service ServiceName) []Shard {
-	ids := s.ranges[service]
+	ids := s.shardsByRange[service]
 	shards := make([]Shard, 0, len(ids))
 	for _, id := range ids {
 		shards = append(shards, *s.shards[id])
@@ -197,12 +197,12 @@
 
 // ShardCount returns the number of shards of a service.
 func (s *State) ShardCount(service ServiceName) int {
-	return len(s.ranges[service])
+	return len(s.shardsByRange[service])
 }
 
 // ShardAt returns the shard of a service whose range contains a key hash.
 func (s *State) ShardAt(service ServiceName, hash uint64) (Shard, bool) {
-	ids := s.ranges[service]
+	ids := s.shardsByRange[service]
 	position, _ := slices.BinarySearchFunc(ids, hash, func(id ShardID, hash uint64) int {
 		return cmp.Compare(s.shards[id].Range.Last, hash)
 	})
@@ -216,7 +216,7 @@
 // ShardsWithin returns a service's shards that lie entirely within a range, sorted
 // by range.
 func (s *State) ShardsWithin(service ServiceName, keys KeyRange) []Shard {
-	ids := s.ranges[service]
+	ids := s.shardsByRange[service]
 	start, _ := s.rangePosition(service, keys.First)
 	var shards []Shard
 	for _, id := range ids[start:] {
@@ -233,8 +233,8 @@
 // whose owner has no open session, if there is one. Owners in an observed service
 // need no session.
 func (s *State) Unsettled(service ServiceName) (ShardID, bool) {
-	observed := s.observed(service)
-	for _, id := range s.ranges[service] {
+	observed := s.isObserved(service)
+	for _, id := range s.shardsByRange[service] {
 		shard := s.shards[id]
 		owner := s.servers[shard.Owner]
 		settled := shard.Phase == ShardOwned && shard.Target == "" && owner != nil
@@ -245,9 +245,9 @@
 	return 0, false
 }
 
-// observed reports whether the service's ownership is imported from the team's own
+// isObserved reports whether the service's ownership is imported from the team's own
 // scripts (ModeObserved).
-func (s *State) observed(service ServiceName) bool {
+func (s *State) isObserved(service ServiceName) bool {
 	known, found := s.services[service]
 	return found && known.Mode == ModeObserved
 }
@@ -275,7 +275,7 @@
 // AssignmentVersion returns the revision at which the set of shards that a
 // server may serve last changed.
 func (s *State) AssignmentVersion(server ServerID) Revision {
-	return s.versions[server]
+	return s.assignmentVersions[server]
 }
 
 func (s *State) shardsByID(ids map[ShardID]struct{}) []Shard {
--- a/internal/state/totals_test.go
+++ b/internal/state/totals_test.go
@@ -10,8 +10,8 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-// totalsHold compares the totals with sums computed from every shard.
-func totalsHold(t *testing.T, view *State) bool {
+// totalsMatch compares the totals with sums computed from every shard.
+func totalsMatch(t *testing.T, view *State) bool {
 	t.Helper()
 	var counts PhaseCounts
 	widths := make(map[ServerID]float64)
@@ -32,8 +32,8 @@
 	return true
 }
 
-// change applies a random command to a shard or a server.
-func (m *machine) change(random *rand.Rand) {
+// applyRandom applies a random command to a shard or a server.
+func (m *machine) applyRandom(random *rand.Rand) {
 	servers := []ServerID{"a", "b"}
 	server, other := servers[random.IntN(2)], servers[random.IntN(2)]
 	shard, _ := m.state.ShardAt("s", random.Uint64())
@@ -67,8 +67,8 @@
 		random := rand.New(rand.NewPCG(seed, 0))
 		m := withService(t, 1+random.IntN(8))
 		for range 60 {
-			m.change(random)
-			if !totalsHold(t, m.state) {
+			m.applyRandom(random)
+			if !totalsMatch(t, m.state) {
 				return false
 			}
 		}
@@ -78,7 +78,7 @@
 			return false
 		}
 		restored, err := Decode(encoded)
-		return err == nil && totalsHold(t, restored)
+		return err == nil && totalsMatch(t, restored)
 	}, gen.UInt64()))
 	properties.TestingRun(t)
 }
