--- a/internal/state/apply.go
+++ b/internal/state/apply.go
@@ -7,17 +7,17 @@
 	"github.com/thorntiller/thorntiller/internal/fault"
 )
 
-// transaction collects the changes of one command.
+// transaction collects the changes made by one command.
 type transaction struct {
 	state    *State
 	revision Revision
 	changed  []Object
-	// repeated is true if an object may have been changed a second time.
+	// repeated is true if an object may have been changed more than once.
 	repeated bool
 }
 
-// Apply executes the command that stands at a log index. The result's error
-// leaves the routing table as it was.
+// Apply executes the command at a log index. If the result has an error, the
+// routing table is unchanged.
 func (s *State) Apply(index uint64, command Command) Result {
 	tx := &transaction{state: s, revision: Revision(index)}
 	s.differences = make(SectionDigests)
@@ -33,7 +33,7 @@
 	return result
 }
 
-// objectKey identifies an object, as Object.Key does, without making a string.
+// objectKey identifies an object as Object.Key does, without allocating a string.
 type objectKey struct {
 	kind   objectKind
 	name   string
@@ -68,8 +68,8 @@
 	}
 }
 
-// newestVersions keeps the last version of each object, since a command may
-// change an object more than once. A table takes each object once in a delta.
+// newestVersions keeps only the last version of each object, since a command may
+// change an object more than once and a delta must contain each object once.
 func newestVersions(changed []Object) []Object {
 	last := make(map[objectKey]int, len(changed))
 	for position, object := range changed {
@@ -167,7 +167,7 @@
 	if server.Intent == ServerRetired {
 		return failure(fault.Conflict, "the server is retired")
 	}
-	if tx.state.observed(server.Service) {
+	if tx.state.isObserved(server.Service) {
 		return failure(fault.Conflict, "the service is observed: its servers get no leases")
 	}
 	server.Session = Session{Number: command.After + 1, Incarnation: command.Incarnation, Open: true}
@@ -177,7 +177,7 @@
 
 func (tx *transaction) openSessions(command *OpenSessions) Result {
 	for _, session := range command.Sessions {
-		// The refusal of one says nothing about the others.
+		// Each session is handled independently: a rejected one does not affect the others.
 		_ = tx.openSession(&session)
 	}
 	return Result{}
@@ -194,22 +194,22 @@
 	server.Session.Open = false
 	tx.putServer(server)
 	for _, shard := range tx.state.OwnedBy(command.Server) {
-		tx.disown(shard)
+		tx.clearOwner(shard)
 	}
 	return Result{}
 }
 
 func (tx *transaction) closeSessions(command *CloseSessions) Result {
 	for _, session := range command.Sessions {
-		// The refusal of one says nothing about the others.
+		// Each session is handled independently: a rejected one does not affect the others.
 		_ = tx.closeSession(&session)
 	}
 	return Result{}
 }
 
-// disown makes a shard unowned. Its epoch stays, so that the next assignment
-// rises above it.
-func (tx *transaction) disown(shard Shard) {
+// clearOwner makes a shard unowned. It keeps the epoch, so that the next assignment
+// gets a higher one.
+func (tx *transaction) clearOwner(shard Shard) {
 	shard.Phase = ShardUnowned
 	shard.Owner = ""
 	tx.putShard(shard)
@@ -224,7 +224,7 @@
 		if shard.Owner != command.Server || shard.Epoch != released.Epoch {
 			continue
 		}
-		tx.disown(shard)
+		tx.clearOwner(shard)
 	}
 	return Result{}
 }
@@ -251,7 +251,7 @@
 func (tx *transaction) revokeShards(command *RevokeShards) Result {
 	for _, move := range command.Moves {
 		shard, found := tx.state.Shard(move.Shard)
-		if !found || shard.Phase != ShardOwned || shard.Epoch != move.Epoch || tx.state.observed(shard.Service) {
+		if !found || shard.Phase != ShardOwned || shard.Epoch != move.Epoch || tx.state.isObserved(shard.Service) {
 			continue
 		}
 		shard.Phase = ShardRevoking
@@ -293,8 +293,8 @@
 	if found && previous.Session.Open {
 		return failure(fault.Conflict, "the router's session is still open")
 	}
-	// The revision rises and is never used twice, so that a session of a router
-	// that was forgotten meanwhile cannot be taken for a new one.
+	// Revisions increase and are never reused, so an old session of a router whose
+	// entry was deleted in the meantime cannot be mistaken for a new one.
 	router.Session.Number = SessionNumber(tx.revision)
 	router.Session.Open = true
 	router.Revision = tx.revision
@@ -310,25 +310,27 @@
 	router.Session.Open = false
 	router.Revision = tx.revision
 	tx.put(Object{Router: &router})
-	tx.forgetRouters()
+	tx.deleteClosedRouters()
 	return Result{}
 }
 
-// MaxClosedRouters bounds the routers without a session that are kept. Routers
-// come and go under new names for as long as the cluster lives.
+// MaxClosedRouters limits the number of routers without an open session that are
+// kept. Without a limit they accumulate, because routers are replaced under new
+// names over the lifetime of the cluster.
 const MaxClosedRouters = 256
 
-// forgetRouters deletes the routers that were closed first, beyond the bound and
-// but for those that a record partition names.
-func (tx *transaction) forgetRouters() {
-	placed := make(map[RouterID]bool)
+// deleteClosedRouters deletes the routers that were closed first until MaxClosedRouters
+// remain. Routers that are the primary or the backup of a record partition are
+// neither counted nor deleted.
+func (tx *transaction) deleteClosedRouters() {
+	inPartition := make(map[RouterID]bool)
 	for _, partition := range tx.state.partitions {
-		placed[partition.Primary] = true
-		placed[partition.Backup] = true
+		inPartition[partition.Primary] = true
+		inPartition[partition.Backup] = true
 	}
 	var closed []Router
 	for _, router := range tx.state.Routers() {
-		if !router.Session.Open && !placed[router.ID] {
+		if !router.Session.Open && !inPartition[router.ID] {
 			closed = append(closed, router)
 		}
 	}
@@ -354,7 +356,7 @@
 }
 
 // keepsRoles reports whether the partition differs from its previous version only in that its backup
-// now holds every record, or that there is no former copy any more.
+// is now synced, its former copy was dropped, or both.
 func keepsRoles(previous, partition RecordPartition) bool {
 	wanted := previous
 	wanted.Revision = partition.Revision
--- a/internal/state/section_test.go
+++ b/internal/state/section_test.go
@@ -10,20 +10,20 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-// sectionsOf computes the digests of the sections from every object.
+// sectionsOf computes the section digests from scratch over every object.
 func sectionsOf(view *State) (SectionDigests, uint64) {
 	sections := make(SectionDigests)
 	whole := uint64(0)
 	for _, object := range view.Objects() {
-		sections.change(object, ObjectDigest(object))
+		sections.toggle(object, ObjectDigest(object))
 		whole ^= ObjectDigest(object)
 	}
 	return sections, whole
 }
 
-// TestSectionDigestsAgreeWithEveryObject checks the digests after each change,
-// that the differences of a change lead from the ones before to the ones after,
-// and that a restored state has the same.
+// TestSectionDigestsAgreeWithEveryObject checks the section digests after each change,
+// that the differences of a change turn the previous digests into the new ones, and
+// that a restored state has the same digests.
 func TestSectionDigestsAgreeWithEveryObject(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(13)
 	parameters.MinSuccessfulTests = 20
@@ -45,10 +45,10 @@
 				}
 			}
 			if !maps.Equal(before, m.state.SectionDigests()) {
-				t.Logf("differences %v do not lead to %v", result.Differences, m.state.SectionDigests())
+				t.Logf("differences %v do not produce %v", result.Differences, m.state.SectionDigests())
 				return false
 			}
-			m.change(random)
+			m.applyRandom(random)
 			sections, whole := sectionsOf(m.state)
 			if whole != m.state.Digest() || !maps.Equal(sections, m.state.SectionDigests()) {
 				t.Logf("got %v, want %v", m.state.SectionDigests(), sections)
